--- a/crates/cluster-test/src/commands.rs
+++ b/crates/cluster-test/src/commands.rs
@@ -6,7 +6,7 @@
 use crate::arguments::Command;
 use std::path::PathBuf;
 use tracing::warn;
-use woadstall_cluster_test::launch::{Limits, launch};
+use woadstall_cluster_test::launch::{ProcessLimits, launch};
 use woadstall_cluster_test::{check_supported, remove_leftovers};
 use woadstall_emulator_cli::grid::{Overrides, ScenarioFile};
 
@@ -29,7 +29,15 @@
             sockets,
             memory_mb,
             program,
-        } => Err(launch(parent, Limits { sockets, memory_mb }, &program).into()),
+        } => Err(launch(
+            parent,
+            ProcessLimits {
+                max_open_files: sockets,
+                max_data_mib: memory_mb,
+            },
+            &program,
+        )
+        .into()),
     }
 }
 
--- a/crates/cluster-test/src/commands/compare.rs
+++ b/crates/cluster-test/src/commands/compare.rs
@@ -3,7 +3,7 @@
 use super::CommandError;
 use crate::arguments::CompareArguments;
 use std::path::Path;
-use woadstall_cluster_test::results::{Comparison, Pair, compare as compare_rows};
+use woadstall_cluster_test::results::{Comparison, FigurePair, compare as compare_rows};
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::{self, Row};
 
@@ -21,7 +21,7 @@
 fn print(comparison: &Comparison) {
     println!("{:>8} {:>8} {:>8} {:>8}", "until s", "lab", "rig", "apart");
     for step in &comparison.steps {
-        let Pair {
+        let FigurePair {
             emulator,
             processes,
         } = step.served;
@@ -42,7 +42,7 @@
     );
     println!(
         "apart    {:.3} on average, {:.3} in the step until {:.0} s",
-        comparison.mean_distance, comparison.worst.distance, comparison.worst.until_s
+        comparison.mean_distance, comparison.worst_step.distance, comparison.worst_step.until_s
     );
 }
 
--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -27,13 +27,13 @@
     clean()?;
     let options = options(&arguments)?;
     let played = play(scenario.clone(), &options)?;
-    if options.progress {
+    if options.show_progress {
         eprintln!();
     }
     let result = match played {
         None => return Ok(INTERRUPTED),
-        Some(Err(RunError::TooSlow { up_after })) => {
-            warn_too_slow(&RunError::TooSlow { up_after }.to_string());
+        Some(Err(RunError::TooSlow { startup_time })) => {
+            warn_too_slow(&RunError::TooSlow { startup_time }.to_string());
             return Ok(TOO_SLOW);
         }
         Some(result) => result?,
@@ -45,7 +45,7 @@
         policy: ROW_POLICY.into(),
         seed: arguments.seed,
     };
-    let row = Row::new(key, result.end.clone(), Some(result.lag.clone()));
+    let row = Row::new(key, result.run_result.clone(), Some(result.lag.clone()));
     write_results(&arguments, &scenario, &result, row)?;
     Ok(exit_code(&result))
 }
@@ -62,9 +62,9 @@
         program,
         launcher: std::env::current_exe()?,
         seed: arguments.seed,
-        violation: arguments.violation,
-        keep: arguments.keep,
-        progress: !arguments.json,
+        rule_violation: arguments.violation,
+        keep_logs: arguments.keep,
+        show_progress: !arguments.json,
     })
 }
 
@@ -116,7 +116,7 @@
     if let Some(plot) = &arguments.plot {
         report::write(plot, &report::page(&[row], &FaultBand::of(scenario))?)?;
     }
-    if let Some(logs) = &result.logs {
+    if let Some(logs) = &result.log_directory {
         info!(folder = %logs.display(), "logs of the processes kept");
     }
     Ok(())
--- a/crates/cluster-test/src/error.rs
+++ b/crates/cluster-test/src/error.rs
@@ -80,9 +80,9 @@
     #[error(transparent)]
     Start(#[from] ClusterError),
     /// The machine is too slow to start the fleet before callers begin.
-    #[error("it took {:.1} s until all processes served", up_after.as_secs_f64())]
+    #[error("it took {:.1} s until all processes served", startup_time.as_secs_f64())]
     TooSlow {
         /// How long it took until all processes served.
-        up_after: Duration,
+        startup_time: Duration,
     },
 }
--- a/crates/cluster-test/src/launch.rs
+++ b/crates/cluster-test/src/launch.rs
@@ -11,28 +11,32 @@
 
 /// Resource limits of a process (`setrlimit(2)`).
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// Descriptors that it may have open (`RLIMIT_NOFILE`).
-    pub sockets: u64,
+    pub max_open_files: u64,
     /// Memory that it may have for data, in MiB (`RLIMIT_DATA`).
-    pub memory_mb: u64,
+    pub max_data_mib: u64,
 }
 
 /// Becomes the program, which is killed when its parent dies (`PR_SET_PDEATHSIG`). Returns only on failure.
-pub fn launch(parent: i32, limits: Limits, program: &Path) -> io::Error {
+pub fn launch(parent: i32, limits: ProcessLimits, program: &Path) -> io::Error {
     match prepare(parent, limits) {
         Ok(()) => Command::new(program).exec(),
         Err(error) => error.into(),
     }
 }
 
-fn prepare(parent: i32, limits: Limits) -> nix::Result<()> {
+fn prepare(parent: i32, limits: ProcessLimits) -> nix::Result<()> {
     prctl::set_pdeathsig(Signal::SIGKILL)?;
     if getppid() != Pid::from_raw(parent) {
         return Err(nix::Error::ESRCH); // it died before the signal was set
     }
-    let memory_bytes = limits.memory_mb << 20;
-    setrlimit(Resource::RLIMIT_NOFILE, limits.sockets, limits.sockets)?;
+    let memory_bytes = limits.max_data_mib << 20;
+    setrlimit(
+        Resource::RLIMIT_NOFILE,
+        limits.max_open_files,
+        limits.max_open_files,
+    )?;
     setrlimit(Resource::RLIMIT_DATA, memory_bytes, memory_bytes)?;
     setrlimit(Resource::RLIMIT_CORE, 0, 0)
 }
--- a/crates/cluster-test/src/results.rs
+++ b/crates/cluster-test/src/results.rs
@@ -4,7 +4,7 @@
 mod json;
 mod text;
 
-pub use compare::{CompareError, Comparison, Pair, StepShares, WorstStep, compare};
+pub use compare::{CompareError, Comparison, FigurePair, StepShares, WorstStep, compare};
 pub use json::json;
 pub use text::text;
 
@@ -24,31 +24,31 @@
 #[derive(Debug)]
 pub struct ClusterResult {
     /// The result in the emulator's form.
-    pub end: RunResult,
+    pub run_result: RunResult,
     /// How late callers began their calls.
     pub lag: Lag,
     /// The share of this process's own timers that were late.
-    pub timer_lag: f64,
+    pub late_timer_share: f64,
     /// The largest share of its time that a balancer was ready to run and had no core.
-    pub starved: f64,
+    pub max_core_wait_share: f64,
     /// How long it took until all processes served.
-    pub up_after: Duration,
+    pub startup_time: Duration,
     /// How many balancers there were.
-    pub balancers: u32,
+    pub balancer_count: u32,
     /// How often balancers were started, all together.
-    pub starts: u32,
+    pub process_starts: u32,
     /// Processes that ended by themselves with the last lines of their logs, and faults that could not be applied.
     pub failures: Vec<String>,
     /// The most memory of each balancer, in kB.
     pub peak_memory_kb: Vec<u64>,
     /// Requests that never had a response.
-    pub unanswered: u64,
+    pub unanswered_requests: u64,
     /// Requests whose work ran more than once.
-    pub ran_twice: u64,
+    pub requests_executed_twice: u64,
     /// Requests without a response in time since their balancer's process was suspended.
-    pub overdue_at_suspended: u64,
+    pub overdue_requests_at_suspended: u64,
     /// How often agents were read.
-    pub list_queries: u64,
+    pub list_reads: u64,
     /// What went through the fault proxy.
     pub traffic: TrafficCounts,
     /// What each upstream saw.
@@ -56,13 +56,13 @@
     /// The share of a core that each balancer's membership used, where there is one.
     pub membership_cores: Vec<f64>,
     /// The folder with the processes' logs, where it was kept.
-    pub logs: Option<PathBuf>,
+    pub log_directory: Option<PathBuf>,
 }
 
 impl ClusterResult {
     /// Whether no rule and no bound was broken, and no process ended by itself.
     pub fn is_passed(&self) -> bool {
-        self.end.is_satisfied() && self.failures.is_empty()
+        self.run_result.is_satisfied() && self.failures.is_empty()
     }
 
     /// Why the machine was too slow for the figures to mean anything, if it was.
@@ -71,12 +71,12 @@
         let shares = [
             (delayed_calls, MAX_DELAYED_CALLS, "of the calls began late"),
             (
-                self.timer_lag,
+                self.late_timer_share,
                 MAX_DELAYED_TIMERS,
                 "of the rig's own timers were late",
             ),
             (
-                self.starved,
+                self.max_core_wait_share,
                 MAX_STARVED,
                 "of its time a balancer had no core",
             ),
--- a/crates/cluster-test/src/results/compare.rs
+++ b/crates/cluster-test/src/results/compare.rs
@@ -5,14 +5,14 @@
 
 /// A figure of both runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pair {
+pub struct FigurePair {
     /// The emulator's.
     pub emulator: f64,
     /// That of the run with processes.
     pub processes: f64,
 }
 
-impl Pair {
+impl FigurePair {
     /// By how much the two differ.
     fn distance(&self) -> f64 {
         (self.emulator - self.processes).abs()
@@ -25,7 +25,7 @@
     /// The end of the step, in seconds.
     pub until_s: f64,
     /// The share of the value offered in it that was served.
-    pub served: Pair,
+    pub served: FigurePair,
 }
 
 /// The step with the largest distance.
@@ -45,11 +45,11 @@
     /// The mean distance of the shares served in a step.
     pub mean_distance: f64,
     /// The step in which the two are furthest apart.
-    pub worst: WorstStep,
+    pub worst_step: WorstStep,
     /// The share of the value that was served in all.
-    pub served: Pair,
+    pub served: FigurePair,
     /// The share of the calls that were rejected in the end.
-    pub rejected: Pair,
+    pub rejected: FigurePair,
 }
 
 /// Why two rows cannot be compared.
@@ -87,7 +87,7 @@
     let steps: Vec<StepShares> = pairs
         .map(|(emulator, processes)| StepShares {
             until_s: emulator.end_seconds,
-            served: Pair {
+            served: FigurePair {
                 emulator: served_ratio(&emulator.counts),
                 processes: served_ratio(&processes.counts),
             },
@@ -99,12 +99,12 @@
     let distances = || steps.iter().map(|step| step.served.distance());
     Ok(Comparison {
         mean_distance: distances().sum::<f64>() / steps.len() as f64,
-        worst: worst_step(&steps),
-        served: Pair {
+        worst_step: worst_step(&steps),
+        served: FigurePair {
             emulator: emulator.end.served_value_fraction,
             processes: processes.end.served_value_fraction,
         },
-        rejected: Pair {
+        rejected: FigurePair {
             emulator: rejected_ratio(emulator),
             processes: rejected_ratio(processes),
         },
--- a/crates/cluster-test/src/results/json.rs
+++ b/crates/cluster-test/src/results/json.rs
@@ -7,12 +7,12 @@
 /// The whole result. `row` has the timeline in the emulator's form.
 pub fn json(result: &ClusterResult, row: &Row) -> Value {
     let ClusterResult {
-        end,
+        run_result,
         peak_memory_kb,
         traffic,
         ..
     } = result;
-    let requests = end.counts.requests.max(1) as f64;
+    let requests = run_result.counts.requests.max(1) as f64;
     json!({
         "scenario": row.key.scenario,
         "digest": row.key.digest,
@@ -20,34 +20,34 @@
         "commit": row.commit,
         "kept": result.is_passed(),
         "too-slow": result.too_slow(),
-        "served": end.served_value_fraction,
-        "counts": end.counts,
-        "latency": end.latency,
+        "served": run_result.served_value_fraction,
+        "counts": run_result.counts,
+        "latency": run_result.latency,
         "processes": {
-            "balancers": result.balancers,
-            "starts": result.starts,
+            "balancers": result.balancer_count,
+            "starts": result.process_starts,
             "nodos": result.upstreams.len(),
-            "up-after-s": result.up_after.as_secs_f64(),
+            "up-after-s": result.startup_time.as_secs_f64(),
             "crashes": result.failures,
             "memory-kb": {"most": peak_memory_kb.iter().max(), "mean": mean(peak_memory_kb)},
         },
-        "breaches": end.breaches,
-        "first-breaches": end.first_breaches,
-        "bounds": end.bounds,
-        "lost": result.unanswered,
-        "doubled": result.ran_twice,
-        "stood-still": result.overdue_at_suspended,
+        "breaches": run_result.breaches,
+        "first-breaches": run_result.first_breaches,
+        "bounds": run_result.bounds,
+        "lost": result.unanswered_requests,
+        "doubled": result.requests_executed_twice,
+        "stood-still": result.overdue_requests_at_suspended,
         "prices": {
             "connections": traffic.streams_opened,
             "connections-a-request": traffic.streams_opened as f64 / requests,
             "bytes": traffic.stream_bytes,
-            "list-reads": result.list_queries,
-            "attempts-a-request": end.counts.attempts as f64 / requests,
+            "list-reads": result.list_reads,
+            "attempts-a-request": run_result.counts.attempts as f64 / requests,
         },
-        "members": end.members,
-        "evacuated": end.evacuation,
+        "members": run_result.members,
+        "evacuated": run_result.evacuation,
         "members-cores": result.membership_cores,
-        "lag": {"calls": result.lag, "own": result.timer_lag, "starved": result.starved},
-        "steps": end.timeline,
+        "lag": {"calls": result.lag, "own": result.late_timer_share, "starved": result.max_core_wait_share},
+        "steps": run_result.timeline,
     })
 }
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -15,22 +15,22 @@
 }
 
 fn write_result(out: &mut String, result: &ClusterResult, row: &Row) -> fmt::Result {
-    let end = &result.end;
-    let balancers = result.balancers;
+    let run_result = &result.run_result;
+    let balancers = result.balancer_count;
     let (scenario, seed, set) = (&row.key.scenario, row.key.seed, row.set());
     writeln!(out, "{scenario}, {balancers} balancers, seed {seed} {set}")?;
     write_calls(out, result)?;
     write_processes(out, result)?;
-    if let Some(members) = &end.members {
+    if let Some(members) = &run_result.members {
         write_members(out, members, &result.membership_cores)?;
     }
-    if let Some(evacuated) = &end.evacuation {
+    if let Some(evacuated) = &run_result.evacuation {
         write_evacuations(out, evacuated)?;
     }
-    for line in report::rule_lines(end) {
+    for line in report::rule_lines(run_result) {
         writeln!(out, "{line}")?;
     }
-    for breach in &end.first_breaches {
+    for breach in &run_result.first_breaches {
         writeln!(out, "    {:.3} s: {}", breach.at as f64 / 1e9, breach.text)?;
     }
     for failure in &result.failures {
@@ -40,11 +40,11 @@
 }
 
 fn write_calls(out: &mut String, result: &ClusterResult) -> fmt::Result {
-    let (counts, latency) = (&result.end.counts, &result.end.latency);
+    let (counts, latency) = (&result.run_result.counts, &result.run_result.latency);
     writeln!(
         out,
         "  worth served   {:.3} of what was offered",
-        result.end.served_value_fraction
+        result.run_result.served_value_fraction
     )?;
     writeln!(
         out,
@@ -67,8 +67,8 @@
     writeln!(
         out,
         "  processes      {} starts, up after {:.1} s, {} kB of memory at most, {} on average",
-        result.starts,
-        result.up_after.as_secs_f64(),
+        result.process_starts,
+        result.startup_time.as_secs_f64(),
         result.peak_memory_kb.iter().max().unwrap_or(&0),
         mean(&result.peak_memory_kb)
     )?;
@@ -77,20 +77,22 @@
         "  paid           {} connections through the fabric, {} kB, {} list reads",
         result.traffic.streams_opened,
         result.traffic.stream_bytes / 1_000,
-        result.list_queries
+        result.list_reads
     )?;
     writeln!(
         out,
         "  unanswered     {}, of these and late ones {} at stopped balancers; {} ran twice",
-        result.unanswered, result.overdue_at_suspended, result.ran_twice
+        result.unanswered_requests,
+        result.overdue_requests_at_suspended,
+        result.requests_executed_twice
     )?;
     writeln!(
         out,
         "  the rig itself {} of {} calls late, {:.1}% of its timers, a balancer without a core {:.1}% of its time",
         result.lag.late,
         result.lag.calls,
-        100.0 * result.timer_lag,
-        100.0 * result.starved
+        100.0 * result.late_timer_share,
+        100.0 * result.max_core_wait_share
     )
 }
 
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -4,7 +4,7 @@
 
 use crate::error::RunError;
 use crate::fleet::{Fleet, FleetSettings};
-use crate::launch::Limits;
+use crate::launch::ProcessLimits;
 use crate::membership_poll;
 use crate::results::ClusterResult;
 use crate::rule_violation::RuleViolation;
@@ -23,9 +23,9 @@
 
 /// The limits of a process: what its configuration lets it use, and what the program needs beside that for its own
 /// descriptors, code and stack.
-const PROCESS_LIMITS: Limits = Limits {
-    sockets: 4_096 + 64,
-    memory_mb: 512 + 64,
+const PROCESS_LIMITS: ProcessLimits = ProcessLimits {
+    max_open_files: 4_096 + 64,
+    max_data_mib: 512 + 64,
 };
 
 /// What a run is played with.
@@ -38,11 +38,11 @@
     /// The source of all random numbers.
     pub seed: u64,
     /// What is broken on purpose.
-    pub violation: Option<RuleViolation>,
+    pub rule_violation: Option<RuleViolation>,
     /// Keep the folder with the processes' logs also where all went well.
-    pub keep: bool,
+    pub keep_logs: bool,
     /// Show the progress on standard error.
-    pub progress: bool,
+    pub show_progress: bool,
 }
 
 /// How long the fleet may take to come up.
@@ -75,25 +75,25 @@
         run_directory: run_directory.clone(),
         seed: options.seed,
         start,
-        violation: options.violation,
+        violation: options.rule_violation,
     };
     let fleet = Arc::new(Fleet::start(settings).await?);
-    let up_after = began.elapsed();
+    let startup_time = began.elapsed();
     if Instant::now() >= start {
-        return Err(RunError::TooSlow { up_after });
+        return Err(RunError::TooSlow { startup_time });
     }
     let transport = Transport::Daemons(fleet.entry_points());
     let callers = Callers::new(scenario, rules, transport, options.seed, start);
     let observer = Arc::new(Observer::new(
         fleet.clone(),
         Arc::new(callers),
-        options.progress,
+        options.show_progress,
     ));
     let usage = play(&observer).await;
-    let mut result = collect(&observer, usage, up_after);
-    if options.keep || !result.is_passed() {
+    let mut result = collect(&observer, usage, startup_time);
+    if options.keep_logs || !result.is_passed() {
         run_directory.preserve();
-        result.logs = Some(run_directory.path().to_owned());
+        result.log_directory = Some(run_directory.path().to_owned());
     }
     Ok(result)
 }
@@ -101,7 +101,7 @@
 /// What the processes used of the machine, while they still run.
 struct ProcessUsage {
     /// The largest share of its time that a balancer was ready to run and had no core.
-    starved: f64,
+    max_core_wait_share: f64,
     /// The share of a core that the membership used, for each balancer.
     membership_cores: Vec<f64>,
 }
@@ -138,33 +138,33 @@
         None => Vec::new(),
     };
     ProcessUsage {
-        starved: longest_wait_ns as f64 / length.as_nanos() as f64,
+        max_core_wait_share: longest_wait_ns as f64 / length.as_nanos() as f64,
         membership_cores,
     }
 }
 
-fn collect(observer: &Observer, usage: ProcessUsage, up_after: Duration) -> ClusterResult {
+fn collect(observer: &Observer, usage: ProcessUsage, startup_time: Duration) -> ClusterResult {
     let Observer { fleet, callers, .. } = observer;
-    let end = collect_end(observer);
+    let run_result = collect_run_result(observer);
     let rules = &fleet.rules;
     let balancers = fleet.balancers.iter();
     ClusterResult {
-        end,
+        run_result,
         lag: callers.lag(),
-        timer_lag: observer.timer_lag(),
-        starved: usage.starved,
-        up_after,
-        balancers: fleet.balancers.len() as u32,
-        starts: balancers.clone().map(|balancer| balancer.starts()).sum(),
+        late_timer_share: observer.late_timer_share(),
+        max_core_wait_share: usage.max_core_wait_share,
+        startup_time,
+        balancer_count: fleet.balancers.len() as u32,
+        process_starts: balancers.clone().map(|balancer| balancer.starts()).sum(),
         failures: observer.take_failures(),
         peak_memory_kb: balancers
             .clone()
             .map(|balancer| balancer.peak_memory_kb())
             .collect(),
-        unanswered: rules.unanswered(),
-        ran_twice: rules.ran_twice(),
-        overdue_at_suspended: rules.overdue_at_suspended(),
-        list_queries: balancers.map(|balancer| balancer.agent.reads()).sum(),
+        unanswered_requests: rules.unanswered(),
+        requests_executed_twice: rules.ran_twice(),
+        overdue_requests_at_suspended: rules.overdue_at_suspended(),
+        list_reads: balancers.map(|balancer| balancer.agent.reads()).sum(),
         traffic: fleet.network.counts(),
         upstreams: fleet
             .upstreams
@@ -172,24 +172,24 @@
             .map(|upstream| upstream.counts())
             .collect(),
         membership_cores: usage.membership_cores,
-        logs: None,
+        log_directory: None,
     }
 }
 
 /// The result in the emulator's form.
-fn collect_end(observer: &Observer) -> RunResult {
+fn collect_run_result(observer: &Observer) -> RunResult {
     let Observer { fleet, callers, .. } = observer;
-    let mut end = callers.end();
-    for (step, sample) in end.timeline.iter_mut().zip(observer.take_samples()) {
+    let mut run_result = callers.end();
+    for (step, sample) in run_result.timeline.iter_mut().zip(observer.take_samples()) {
         let running = sample.running;
         step.running_processes = Some((running.balancers, running.upstreams));
         step.log_lines_by_topic = sample.log_lines;
     }
     if let Some(membership) = &fleet.membership {
-        end.members = Some(membership.members_end());
+        run_result.members = Some(membership.members_end());
         let evacuates = fleet.scenario.evacuation.is_some();
-        end.evacuation = evacuates.then(|| membership.evacuations_end());
+        run_result.evacuation = evacuates.then(|| membership.evacuations_end());
     }
-    end.bounds = fleet.scenario.evaluate(&end);
-    end
+    run_result.bounds = fleet.scenario.evaluate(&run_result);
+    run_result
 }
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -124,7 +124,7 @@
     }
 
     /// The share of the timer's ticks that were late.
-    pub fn timer_lag(&self) -> f64 {
+    pub fn late_timer_share(&self) -> f64 {
         let timer = lock(&self.timer);
         timer.late as f64 / timer.ticks.max(1) as f64
     }
--- a/crates/cluster-test/src/run_directory.rs
+++ b/crates/cluster-test/src/run_directory.rs
@@ -1,7 +1,7 @@
 //! The folder of a run, and how its processes are spawned: all of them end with it, and a later run finds in the
 //! folder what a killed one has left.
 
-use crate::launch::Limits;
+use crate::launch::ProcessLimits;
 use crate::procfs;
 use nix::fcntl::{Flock, FlockArg};
 use std::fs::{File, OpenOptions};
@@ -31,7 +31,7 @@
     processes: Mutex<File>,
     launcher: PathBuf,
     program: PathBuf,
-    limits: Limits,
+    limits: ProcessLimits,
     path: PathBuf,
     folder: Mutex<TempDir>,
 }
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Where the folder, its files or the thread cannot be made.
-    pub fn new(launcher: &Path, program: &Path, limits: Limits) -> io::Result<Self> {
+    pub fn new(launcher: &Path, program: &Path, limits: ProcessLimits) -> io::Result<Self> {
         let folder = tempfile::Builder::new().prefix(FOLDER_PREFIX).tempdir()?;
         let file = File::create(folder.path().join(LOCK_FILE))?;
         let lock =
@@ -98,8 +98,8 @@
         command
             .arg("launch")
             .args(["--parent", &std::process::id().to_string()])
-            .args(["--sockets", &self.limits.sockets.to_string()])
-            .args(["--memory-mb", &self.limits.memory_mb.to_string()])
+            .args(["--sockets", &self.limits.max_open_files.to_string()])
+            .args(["--memory-mb", &self.limits.max_data_mib.to_string()])
             .arg(&self.program)
             .env_clear()
             .env("LB_CONFIG", request.config)
--- a/crates/fault-proxy/src/proxy.rs
+++ b/crates/fault-proxy/src/proxy.rs
@@ -57,10 +57,10 @@
     /// If a socket cannot be bound.
     pub async fn proxy_udp(
         &self,
-        one: (NodeId, SocketAddr),
-        other: (NodeId, SocketAddr),
+        first: (NodeId, SocketAddr),
+        second: (NodeId, SocketAddr),
     ) -> io::Result<(SocketAddr, SocketAddr)> {
-        let (addresses, task) = udp::proxy(self.state.clone(), one, other).await?;
+        let (addresses, task) = udp::proxy(self.state.clone(), first, second).await?;
         lock(&self.tasks).spawn(task);
         Ok(addresses)
     }
--- a/crates/fault-proxy/src/schedule.rs
+++ b/crates/fault-proxy/src/schedule.rs
@@ -56,7 +56,7 @@
 
 impl StreamSchedule {
     /// When a segment of so many bytes that is written now is delivered.
-    pub fn deliver_at(
+    pub fn delivery_time_ns(
         &mut self,
         now_ns: u64,
         bytes: usize,
@@ -76,16 +76,20 @@
     }
 }
 
-/// How many nanoseconds a new stream takes to come up, over the link of its client and the one
-/// back.
-pub fn handshake_ns(there: &LinkConditions, back: &LinkConditions, rng: &mut impl Rng) -> u64 {
-    let is_lost = draw(rng, there.loss) || draw(rng, back.loss);
+/// The time that a TCP handshake takes, in nanoseconds. `outbound` is the link from the client to
+/// the server, `inbound` the link from the server to the client.
+pub fn handshake_ns(
+    outbound: &LinkConditions,
+    inbound: &LinkConditions,
+    rng: &mut impl Rng,
+) -> u64 {
+    let is_lost = draw(rng, outbound.loss) || draw(rng, inbound.loss);
     let retransmission_ns = if is_lost {
         HANDSHAKE_RETRANSMISSION_NS
     } else {
         0
     };
-    there.draw_latency_ns(rng) + back.draw_latency_ns(rng) + retransmission_ns
+    outbound.draw_latency_ns(rng) + inbound.draw_latency_ns(rng) + retransmission_ns
 }
 
 /// One direction of datagrams.
@@ -96,7 +100,7 @@
 
 impl DatagramSchedule {
     /// When a datagram of so many bytes that is sent now is delivered: never, once, or twice.
-    pub fn deliver_at(
+    pub fn delivery_times_ns(
         &mut self,
         now_ns: u64,
         bytes: usize,
--- a/crates/fault-proxy/src/tcp/forward.rs
+++ b/crates/fault-proxy/src/tcp/forward.rs
@@ -123,9 +123,9 @@
             return write_all(to, bytes).await;
         }
         let now_ns = self.state.now_ns();
-        let delivery_ns = self
-            .schedule
-            .deliver_at(now_ns, length, &conditions, &mut self.rng);
+        let delivery_ns =
+            self.schedule
+                .delivery_time_ns(now_ns, length, &conditions, &mut self.rng);
         self.in_flight_bytes += length;
         self.in_flight.push_back(Segment { delivery_ns, bytes });
         Ok(())
--- a/crates/fault-proxy/src/udp.rs
+++ b/crates/fault-proxy/src/udp.rs
@@ -109,7 +109,8 @@
         datagram: &[u8],
     ) {
         let now_ns = self.state.now_ns();
-        let deliveries = schedule.deliver_at(now_ns, datagram.len(), conditions, &mut self.rng);
+        let deliveries =
+            schedule.delivery_times_ns(now_ns, datagram.len(), conditions, &mut self.rng);
         if deliveries[0].is_none() || self.in_flight.len() >= WINDOW_DATAGRAMS {
             self.state.counters.add_dropped_datagram();
             return;
--- a/crates/fault-proxy/tests/golden.rs
+++ b/crates/fault-proxy/tests/golden.rs
@@ -74,7 +74,7 @@
     let conditions = conditions();
     let times = (0..5_000u64).map(|number| {
         let current = &conditions[number as usize / 50 % conditions.len()];
-        stream.deliver_at(
+        stream.delivery_time_ns(
             number * 300_000,
             1 + number as usize % 1_500,
             current,
@@ -103,7 +103,7 @@
     let times = (0..5_000u64).flat_map(|number| {
         let current = &conditions[number as usize / 50 % conditions.len()];
         let bytes = 1 + number as usize % 1_500;
-        let deliveries = datagrams.deliver_at(number * 300_000, bytes, current, &mut rng);
+        let deliveries = datagrams.delivery_times_ns(number * 300_000, bytes, current, &mut rng);
         deliveries.map(|due| due.unwrap_or(u64::MAX))
     });
     assert_eq!(digest(times), 0xcc41_bbc5_c28b_a97b);
--- a/crates/fault-proxy/tests/schedule.rs
+++ b/crates/fault-proxy/tests/schedule.rs
@@ -36,7 +36,7 @@
         let (mut now, mut last) = (0, 0);
         for (gap, bytes, conditions) in segments {
             now += gap;
-            let due = stream.deliver_at(now, bytes, &conditions, &mut rng);
+            let due = stream.delivery_time_ns(now, bytes, &conditions, &mut rng);
             let transmission = (bytes as u64 * 1_000_000_000).checked_div(conditions.bytes_per_second).unwrap_or(0);
             prop_assert!(due >= last && due >= now + conditions.delay.as_nanos() as u64 + transmission);
             last = due;
@@ -48,7 +48,7 @@
     fn datagrams_are_delivered_at_most_twice(seed: u64, conditions in conditions(), duplication in 0.0..1.0f64, now in 0u64..1_000_000_000) {
         let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
         let conditions = LinkConditions { duplication, ..conditions };
-        let deliveries = datagrams.deliver_at(now, 100, &conditions, &mut rng);
+        let deliveries = datagrams.delivery_times_ns(now, 100, &conditions, &mut rng);
         prop_assert!(deliveries[0].is_some() || deliveries[1].is_none());
         prop_assert!(!conditions.partitioned || deliveries[0].is_none());
         prop_assert!(deliveries.into_iter().flatten().all(|due| due >= now + conditions.delay.as_nanos() as u64));
@@ -71,7 +71,7 @@
     let (mut lost, mut duplicated, mut reordered) = (0, 0, 0);
     for sent in 0..SENT {
         let now = u64::from(sent) * 1_000_000;
-        match datagrams.deliver_at(now, 100, &conditions, &mut rng) {
+        match datagrams.delivery_times_ns(now, 100, &conditions, &mut rng) {
             [None, _] => lost += 1,
             [Some(first), second] => {
                 duplicated += u32::from(second.is_some());
@@ -101,7 +101,7 @@
     };
     let (mut stream, mut rng) = (StreamSchedule::default(), ChaCha8Rng::seed_from_u64(1));
     let last = (0..100)
-        .map(|_| stream.deliver_at(0, 10_000, &conditions, &mut rng))
+        .map(|_| stream.delivery_time_ns(0, 10_000, &conditions, &mut rng))
         .last();
     assert_eq!(last, Some(1_000_000_000));
 }
