--- a/crates/cluster-test/src/balancer.rs
+++ b/crates/cluster-test/src/balancer.rs
@@ -1,4 +1,4 @@
-//! One balancer: a process of the shipped program, its discovery agent, and the addresses between it and others.
+//! A balancer: a process of the shipped program, its discovery agent, and the addresses that connect it to other nodes.
 
 use crate::discovery::Agent;
 use crate::error::ClusterError;
@@ -20,51 +20,52 @@
 use woadstall_load_test::callers::BalancerEndpoint;
 use woadstall_load_test::settings::{BalancerPlacement, balancer_config};
 
-/// A process that does not serve by then has not come up.
+/// Time limit for a process to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a starting process is asked whether it serves.
+/// Interval of health checks of a starting process.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How often a stopping process is looked at.
+/// Interval of checks whether a stopping process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Seeds of a balancer's incarnations differ by this: the odd integer nearest to 2^64 over the golden ratio (Steele,
-/// Lea, Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
+/// Difference between the seeds of consecutive incarnations of a balancer: the odd integer nearest to 2^64 divided by
+/// the golden ratio (Steele, Lea, Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The addresses between a balancer and others.
+/// Addresses that connect a balancer to callers, its agent, upstreams and operators.
 pub struct Endpoints {
-    /// Where callers call it.
+    /// Endpoint at which callers reach the balancer.
     pub callers: BalancerEndpoint,
-    /// Where it finds its agent.
+    /// Address at which the balancer reaches its discovery agent.
     pub agent: SocketAddr,
-    /// Where it finds each upstream of its tier, in their order.
+    /// Addresses at which the balancer reaches the upstreams of its tier, in the order of the upstreams.
     pub upstreams: Vec<SocketAddr>,
-    /// Where operators call it, if they do.
+    /// Address of the operators' interface; `None` if the scenario has no membership.
     pub admin: Option<SocketAddr>,
 }
 
-/// See the module's documentation.
+/// A balancer over all incarnations of its process.
 pub struct Balancer {
-    /// Its number, its tier and its zone, and where its process listens.
+    /// Index, tier, zone and listen address of the balancer.
     pub placement: BalancerPlacement,
-    /// The upstream that it is the sidecar of, if it is one.
+    /// Index of the upstream whose sidecar the balancer is; `None` for other balancers.
     pub sidecar_of: Option<u32>,
-    /// The addresses between it and others.
+    /// Addresses that connect the balancer to other nodes.
     pub endpoints: Endpoints,
-    /// Its process.
+    /// The process, which may be restarted several times.
     pub process: Process,
-    /// Its discovery agent.
+    /// The discovery agent that serves the endpoint list to the balancer.
     pub agent: Agent,
-    /// By how much its clock is ahead of the upstreams', in milliseconds. The program compares its clock with the start
-    /// times of upstreams alone, so these are listed as a clock that is right would show them.
+    /// Offset of the balancer's clock ahead of the upstreams' clocks, in milliseconds. The program compares its clock
+    /// only with the start times of upstreams, so the offset is simulated by shifting the start times in the endpoint
+    /// list.
     pub clock_offset_ms: i64,
-    /// Whether its process is to run; one that ends meanwhile has crashed.
-    running: AtomicBool,
+    /// Whether the process is expected to run. A process that exits while this is set has crashed.
+    expected_running: AtomicBool,
     starts: AtomicU32,
     peak_memory_kb: AtomicU64,
 }
 
 impl Balancer {
-    /// A balancer whose process is not started yet.
+    /// Creates a balancer whose process is not started yet.
     pub fn new(
         placement: BalancerPlacement,
         sidecar_of: Option<u32>,
@@ -80,47 +81,47 @@
             process,
             agent,
             clock_offset_ms,
-            running: AtomicBool::new(false),
+            expected_running: AtomicBool::new(false),
             starts: AtomicU32::new(0),
             peak_memory_kb: AtomicU64::new(0),
         }
     }
 
-    /// Starts its process with a last known list, and returns once it serves.
+    /// Starts the process with `initial_list` as its last known endpoint list, and returns once the process is ready.
     ///
     /// # Errors
     ///
-    /// Where it cannot be spawned, ends, or does not serve within 10 s.
+    /// If the process cannot be spawned, exits, or is not ready within 10 s.
     pub async fn start(
         &self,
         run_directory: &RunDirectory,
         scenario: &Scenario,
         seed: u64,
-        known: &[Value],
+        initial_list: &[Value],
     ) -> Result<(), ClusterError> {
         let failed = |source| ClusterError::Process {
             process: self.process.name.clone(),
             source,
         };
-        // A new process has random numbers of its own.
+        // Each incarnation uses its own random numbers.
         let start = u64::from(self.starts.fetch_add(1, Ordering::Relaxed));
         let seed = seed.wrapping_add(start.wrapping_mul(SEED_STEP));
         let agent = self.endpoints.agent;
-        let mut config = balancer_config(scenario, &self.placement, seed, agent, known);
+        let mut config = balancer_config(scenario, &self.placement, seed, agent, initial_list);
         if let Some(admin) = self.endpoints.admin {
             config["admin"] = admin.to_string().into();
         }
         std::fs::write(self.process.config(), config.to_string()).map_err(failed)?;
-        self.running.store(true, Ordering::Relaxed);
+        self.expected_running.store(true, Ordering::Relaxed);
         self.process.start(run_directory).await.map_err(failed)?;
         self.wait_until_ready().await?;
-        if self.is_to_run() {
+        if self.is_expected_to_run() {
             self.set_open(true);
         }
         Ok(())
     }
 
-    /// Waits until its process serves, or is ended on purpose.
+    /// Waits until the process is ready, or is stopped on purpose.
     async fn wait_until_ready(&self) -> Result<(), ClusterError> {
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
@@ -135,7 +136,7 @@
             ) {
                 return Ok(());
             }
-            if !self.is_to_run() {
+            if !self.is_expected_to_run() {
                 return Ok(());
             }
             if let Some(status) = self.process.exit_status() {
@@ -156,27 +157,28 @@
         }
     }
 
-    /// Kills its process, with all requests that are in flight in it.
+    /// Kills the process; requests in flight in the process are lost.
     pub fn kill(&self) {
-        self.prepare_end();
+        self.prepare_stop();
         self.process.kill();
     }
 
-    /// Shuts its process down gracefully, while callers call others. Returns once it has ended; it is killed where it
-    /// takes longer than `patience`.
-    pub async fn shut_down(&self, patience: Duration) {
-        self.prepare_end();
+    /// Shuts the process down gracefully, after closing its endpoint to callers. Returns once the process has exited. A
+    /// process that has not exited after `max_wait` is killed.
+    pub async fn shut_down(&self, max_wait: Duration) {
+        self.prepare_stop();
         self.process.signal(Signal::SIGTERM);
         let began = Instant::now();
-        while self.process.pid().is_some() && began.elapsed() < patience {
+        while self.process.pid().is_some() && began.elapsed() < max_wait {
             sleep(EXIT_POLL_INTERVAL).await;
         }
         self.process.kill();
     }
 
-    /// What precedes an end on purpose.
-    fn prepare_end(&self) {
-        self.running.store(false, Ordering::Relaxed);
+    /// Prepares an intended stop: clears the expected-running flag, closes the endpoint to callers, and records
+    /// the memory use.
+    fn prepare_stop(&self) {
+        self.expected_running.store(false, Ordering::Relaxed);
         self.set_open(false);
         self.record_memory();
     }
@@ -185,17 +187,17 @@
         self.endpoints.callers.set_open(open);
     }
 
-    /// Whether callers may call it.
+    /// Whether callers may send requests to the balancer.
     pub fn is_open(&self) -> bool {
         self.endpoints.callers.is_open()
     }
 
-    /// Whether its process is to run.
-    pub fn is_to_run(&self) -> bool {
-        self.running.load(Ordering::Relaxed)
+    /// Whether the process is expected to run.
+    pub fn is_expected_to_run(&self) -> bool {
+        self.expected_running.load(Ordering::Relaxed)
     }
 
-    /// Suspends its process (`SIGSTOP`), or resumes it (`SIGCONT`).
+    /// Suspends (`SIGSTOP`) or resumes (`SIGCONT`) the process.
     pub fn set_suspended(&self, suspended: bool) {
         self.process.signal(if suspended {
             Signal::SIGSTOP
@@ -204,31 +206,31 @@
         });
     }
 
-    /// What happened to its process, if it has ended though nobody ended it.
-    pub fn crash(&self) -> Option<String> {
+    /// Describes the crash of the process: an exit that was not intended. Returns `None` if there was none.
+    pub fn crash_report(&self) -> Option<String> {
         let status = self
             .process
             .exit_status()
-            .filter(|_| self.running.load(Ordering::Relaxed))?;
+            .filter(|_| self.expected_running.load(Ordering::Relaxed))?;
         Some(format!(
-            "{} ended by itself ({status}): {}",
+            "{} exited unexpectedly ({status}): {}",
             self.process.name,
             self.process.last_log_line()
         ))
     }
 
-    /// Records how much memory its process has.
+    /// Records the peak resident memory of the running process.
     pub fn record_memory(&self) {
         let peak = self.process.peak_memory_kb().unwrap_or(0);
         self.peak_memory_kb.fetch_max(peak, Ordering::Relaxed);
     }
 
-    /// The most memory that was recorded of any incarnation, in kB.
+    /// Returns the largest peak of resident memory recorded for any incarnation, in kB.
     pub fn peak_memory_kb(&self) -> u64 {
         self.peak_memory_kb.load(Ordering::Relaxed)
     }
 
-    /// How often it was started.
+    /// Returns the number of starts of the process.
     pub fn starts(&self) -> u32 {
         self.starts.load(Ordering::Relaxed)
     }
--- a/crates/cluster-test/src/discovery.rs
+++ b/crates/cluster-test/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: an agent beside each balancer, which serves the endpoint list as it has reached it, or one service that
-//! is polled by all and works through their reads one after the other.
+//! Simulated discovery: one agent per balancer, which serves the latest endpoint list that was propagated to the agent.
+//! Initial reads can also queue at a central service with a limited rate of reads.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -21,9 +21,10 @@
 use woadstall_load_test::lock;
 use woadstall_mock_servers::simulated_upstream::serve_process;
 
-/// The longest that a watch waits for a newer list.
+/// Upper limit on the time that a watch waits for a newer list.
 const MAX_WATCH: Duration = Duration::from_secs(60);
-/// A read that may not wait and finds nothing new is answered this much later, so that its balancer does not spin.
+/// Delay of the response to a non-waiting read that finds no newer list. The delay keeps the balancer from
+/// busy-looping.
 const EMPTY_READ_DELAY: Duration = Duration::from_millis(1);
 
 /// A revision of the endpoint list.
@@ -42,50 +43,50 @@
     }
 }
 
-/// The queue of reads at a discovery service that serves all agents at a limited rate.
+/// Queue of reads at a central discovery service, which serves all agents at a limited rate.
 pub struct ReadQueue {
     service: RegistryQueries,
-    idle_from: Mutex<Instant>,
+    idle_at: Mutex<Instant>,
 }
 
-/// The service has too many reads in its queue.
+/// The expected wait in the queue exceeds the time-out of the service.
 struct QueueFull;
 
 impl ReadQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(service: RegistryQueries) -> Self {
         Self {
             service,
-            idle_from: Mutex::new(Instant::now()),
+            idle_at: Mutex::new(Instant::now()),
         }
     }
 
-    /// Waits until the service has worked on one read.
+    /// Queues one read and waits until the service has processed it.
     async fn wait(&self) -> Result<(), QueueFull> {
         let done = {
-            let mut idle_from = lock(&self.idle_from);
-            let begins = (*idle_from).max(Instant::now());
-            let patience = Duration::from_nanos(self.service.timeout.0);
-            if begins.elapsed().is_zero() && begins - Instant::now() > patience {
+            let mut idle_at = lock(&self.idle_at);
+            let begins = (*idle_at).max(Instant::now());
+            let max_wait = Duration::from_nanos(self.service.timeout.0);
+            if begins.elapsed().is_zero() && begins - Instant::now() > max_wait {
                 return Err(QueueFull);
             }
-            *idle_from = begins + Duration::from_secs_f64(1.0 / self.service.reads_per_second);
-            *idle_from
+            *idle_at = begins + Duration::from_secs_f64(1.0 / self.service.reads_per_second);
+            *idle_at
         };
         sleep_until(done.into()).await;
         Ok(())
     }
 }
 
-/// The propagation of lists to an agent: its random numbers, and when the last list reaches it.
+/// Propagation of lists to an agent: the generator of random delays, and the delivery time of the last published list.
 struct Propagation {
     rng: ChaCha8Rng,
-    last_due: Instant,
+    last_delivery_at: Instant,
 }
 
 /// The discovery agent of one balancer.
 pub struct Agent {
-    /// Where it listens.
+    /// Listen address of the agent.
     pub address: SocketAddr,
     list: watch::Sender<EndpointList>,
     unresponsive: watch::Sender<bool>,
@@ -96,20 +97,20 @@
 }
 
 impl Agent {
-    /// Starts the agent of a balancer with its first list. Reads wait in `queue`, if there is one.
+    /// Starts the agent of a balancer with an initial list. Initial reads wait in `queue`, if there is one.
     ///
     /// # Errors
     ///
-    /// Where it cannot listen.
+    /// If the listener of the agent cannot be created.
     pub async fn start(
         balancer: u32,
         seed: u64,
-        first: Vec<Value>,
+        initial_list: Vec<Value>,
         queue: Option<Arc<ReadQueue>>,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let list = watch::Sender::new(EndpointList::new(1, first));
+        let list = watch::Sender::new(EndpointList::new(1, initial_list));
         let unresponsive = watch::Sender::new(false);
         let reads = Arc::new(AtomicU64::new(0));
         let reader = Reader {
@@ -127,7 +128,7 @@
         tasks.spawn(propagate(received, list.clone()));
         let propagation = Mutex::new(Propagation {
             rng: stream(seed, Actor::Registry, balancer),
-            last_due: Instant::now(),
+            last_delivery_at: Instant::now(),
         });
         Ok(Self {
             address,
@@ -140,7 +141,7 @@
         })
     }
 
-    /// Sends it a list, which reaches it in order after a random delay. Returns when that is.
+    /// Publishes a list to the agent. Lists arrive in order, each after a random delay. Returns the delivery time.
     pub fn publish(
         &self,
         revision: u64,
@@ -150,30 +151,30 @@
         let mut propagation = lock(&self.propagation);
         let jitter = registry.jitter.0 as f64 * propagation.rng.random::<f64>();
         let delay = Duration::from_nanos((registry.delay.0 as f64 + jitter) as u64);
-        let due = propagation.last_due.max(Instant::now() + delay);
-        propagation.last_due = due;
+        let due = propagation.last_delivery_at.max(Instant::now() + delay);
+        propagation.last_delivery_at = due;
         let list = EndpointList::new(revision, targets);
         self.updates.send((due, list)).ok();
         due
     }
 
-    /// Resets it to an earlier list; what came since has to be published to it again.
+    /// Resets the agent to an earlier list. Later lists have to be published again.
     pub fn reset(&self, revision: u64, targets: Vec<Value>) {
         self.list.send_replace(EndpointList::new(revision, targets));
     }
 
-    /// How many reads it had, watches that found nothing included.
+    /// Returns the number of reads received, including watches that found no newer list.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Whether it leaves its reads without a response from now on.
+    /// Sets whether the agent withholds responses to reads.
     pub fn set_unresponsive(&self, unresponsive: bool) {
         self.unresponsive.send_replace(unresponsive);
     }
 }
 
-/// Replaces the agent's list by each update when it is due.
+/// Replaces the agent's list by each update at the delivery time of the update.
 async fn propagate(
     mut updates: mpsc::UnboundedReceiver<(Instant, EndpointList)>,
     list: watch::Sender<EndpointList>,
@@ -184,7 +185,7 @@
     }
 }
 
-/// What one read needs of the agent.
+/// Handler of one read request.
 #[derive(Clone)]
 struct Reader {
     list: watch::Receiver<EndpointList>,
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Everything of a scenario but its callers: upstreams, balancers with their agents, the links between them, and the
-//! endpoint list.
+//! The fleet of a run: upstreams, balancers with their discovery agents, the links between them, and the endpoint list.
+//! Callers are not part of the fleet.
 
 mod endpoint_list;
 mod lifecycle;
@@ -22,58 +22,58 @@
 use woadstall_load_test::schedule::Schedule;
 use woadstall_load_test::upstream::{Listing, Upstream};
 
-/// What a fault hits, by numbers among all, in ascending order.
+/// The targets of a fault, as indices in ascending order.
 #[derive(Clone, Debug)]
 pub struct FaultTargets {
-    /// The upstreams.
+    /// Indices among all upstreams.
     pub upstreams: Vec<u32>,
-    /// The balancers.
+    /// Indices among all balancers.
     pub balancers: Vec<u32>,
 }
 
-/// See the module's documentation.
+/// Upstreams, balancers, links and endpoint list of one run.
 pub struct Fleet {
-    /// What is played.
+    /// The scenario of the run.
     pub scenario: Arc<Scenario>,
-    /// When it is played.
+    /// The start times and end times of faults.
     pub schedule: Schedule,
-    /// Finds broken rules.
+    /// Checks calls and upstreams for rule violations.
     pub rules: Arc<RuleChecker>,
-    /// The source of all random numbers.
+    /// Seed of all random number generators of the run.
     pub seed: u64,
-    /// The links.
+    /// Proxies for all links between callers, balancers, agents, upstreams and members.
     pub network: FaultProxy,
-    /// Where processes are spawned.
+    /// The run directory, which spawns the processes.
     pub run_directory: Arc<RunDirectory>,
-    /// All upstreams, tier by tier.
+    /// All upstreams, ordered by tier.
     pub upstreams: Vec<Arc<Upstream>>,
-    /// All balancers, tier by tier.
+    /// All balancers, ordered by tier.
     pub balancers: Vec<Arc<Balancer>>,
-    /// The targets of each fault, while it is in force.
+    /// Targets of each fault of the scenario; `None` while the fault is not active.
     pub active_faults: Mutex<Vec<Option<FaultTargets>>>,
-    /// Membership among the balancers, if there is any.
+    /// Membership among the balancers; `None` if the scenario has no membership.
     pub membership: Option<Membership>,
-    /// The first upstream of each tier, and the end of the last tier.
+    /// Index of the first upstream of each tier, followed by the total number of upstreams.
     tier_bounds: Vec<usize>,
-    /// All lists that were published, each with its time.
+    /// All published endpoint lists with their publication times, oldest first.
     list_history: Mutex<Vec<(Instant, Vec<Listing>)>>,
-    /// How many faults keep the agents unresponsive now.
+    /// Number of active faults that make the agents unresponsive.
     unresponsive_faults: Mutex<u32>,
     violation: Option<RuleViolation>,
-    _proxies: Vec<ViolatingProxy>,
+    _violating_proxies: Vec<ViolatingProxy>,
 }
 
-/// How many processes run.
+/// Numbers of running balancers and upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningCounts {
-    /// Balancers that may be called.
+    /// Balancers that are open for callers.
     pub balancers: u64,
     /// Upstreams that are alive.
     pub upstreams: u64,
 }
 
 impl Fleet {
-    /// Where callers call.
+    /// Returns the endpoints that callers send requests to: the balancers of the first tier.
     pub fn entry_points(&self) -> Vec<BalancerEndpoint> {
         let first_tier = self
             .balancers
@@ -84,8 +84,8 @@
             .collect()
     }
 
-    /// Takes a sample of the upstreams: what each tier can do at present, in workers of healthy warm upstreams, and the
-    /// attempts that each upstream got since the last sample.
+    /// Samples the upstreams. Returns the current capacity of each tier, in workers of healthy warm upstreams, and the
+    /// number of attempts that each upstream received since the last sample.
     pub fn sample_upstreams(&self) -> (Vec<f64>, Vec<u32>) {
         let samples = self.upstreams.iter().map(|upstream| upstream.sample());
         let (speeds, attempts): (Vec<f64>, Vec<u32>) = samples
@@ -99,12 +99,12 @@
         (tier_speeds, attempts)
     }
 
-    /// The numbers of the upstreams of a tier.
+    /// Returns the indices of the upstreams of a tier.
     pub fn upstreams_of_tier(&self, tier: usize) -> Range<u32> {
         self.tier_bounds[tier] as u32..self.tier_bounds[tier + 1] as u32
     }
 
-    /// How many balancers and upstreams run.
+    /// Counts the balancers that are open for callers and the upstreams that are alive.
     pub fn running(&self) -> RunningCounts {
         let balancers = self.balancers.iter().filter(|balancer| balancer.is_open());
         let upstreams = self.upstreams.iter();
--- a/crates/cluster-test/src/fleet/endpoint_list.rs
+++ b/crates/cluster-test/src/fleet/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: how upstreams are listed, and its publication to the agents.
+//! The endpoint list of the upstreams and its publication to the discovery agents.
 
 use super::Fleet;
 use crate::balancer::Balancer;
@@ -11,13 +11,13 @@
 use woadstall_load_test::upstream::listing::TERMINATING;
 
 impl Fleet {
-    /// How all upstreams are listed now.
+    /// Returns the current listings of all upstreams.
     pub(super) fn listings(&self) -> Vec<Listing> {
         let upstreams = self.upstreams.iter();
         upstreams.map(|upstream| upstream.listing()).collect()
     }
 
-    /// A list as a balancer is to find it.
+    /// Returns the list entries for a balancer, with the proxy addresses and the clock offset of this balancer.
     pub(super) fn list_for(&self, balancer: &Balancer, list: &[Listing]) -> Vec<Value> {
         self.list_entries(
             balancer.placement.tier,
@@ -27,7 +27,8 @@
         )
     }
 
-    /// The entries of a tier's upstreams for a balancer that finds them at `addresses` and whose clock is ahead.
+    /// Returns the list entries of a tier's upstreams for a balancer that reaches them at `addresses` and whose clock
+    /// is ahead by `clock_offset_ms`.
     pub(super) fn list_entries(
         &self,
         tier: usize,
@@ -44,7 +45,7 @@
         of_tier.iter().zip(addresses).map(entry).collect()
     }
 
-    /// Publishes the list to all agents. Returns when the last of them has it.
+    /// Publishes the current list to all agents. Returns the time at which the list reaches the last agent.
     fn publish_list(&self) -> Instant {
         let list = self.listings();
         let revision = {
@@ -64,25 +65,26 @@
         due.max().unwrap_or_else(Instant::now)
     }
 
-    /// Whether a rule is broken on purpose by publishing nothing to a balancer's agent: to those of the first half, which
-    /// are in all zones.
+    /// Whether [`RuleViolation::StaleLists`] withholds new lists from a balancer's agent. It does so for the first half
+    /// of the balancers; this half has balancers in every zone.
     fn has_stale_lists(&self, balancer: &Balancer) -> bool {
         let half = self.balancers.len() as u32 / 2;
         self.violation == Some(RuleViolation::StaleLists) && balancer.placement.number < half
     }
 
-    /// Lists an upstream in another state.
+    /// Changes the listed state of an upstream and publishes the list.
     pub fn set_listed_state(&self, upstream: u32, state: &'static str) {
         let upstream = &self.upstreams[upstream as usize];
         upstream.set_listed_state(state, None);
         let due = self.publish_list();
-        // An unresponsive agent notifies nobody.
+        // Unresponsive agents deliver no list, so balancers do not count as notified of the drain.
         if state == TERMINATING && *lock(&self.unresponsive_faults) == 0 {
             upstream.set_listed_state(state, Some(due));
         }
     }
 
-    /// One more fault keeps the agents unresponsive, or one less. When none is left, all balancers count as notified.
+    /// Adds or removes one fault that makes the agents unresponsive. When the last such fault ends, all balancers count
+    /// as notified of draining upstreams.
     pub fn set_agents_unresponsive(&self, unresponsive: bool) {
         let mut faults = lock(&self.unresponsive_faults);
         if unresponsive {
--- a/crates/cluster-test/src/fleet/lifecycle.rs
+++ b/crates/cluster-test/src/fleet/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The start and the end of processes while the scenario runs.
+//! Start and termination of processes during a run.
 
 use super::Fleet;
 use crate::balancer::Balancer;
@@ -12,17 +12,17 @@
 use woadstall_load_test::upstream::Listing;
 use woadstall_load_test::upstream::listing::{IN_SERVICE, TERMINATING};
 
-/// The longest that a starting process needs to hear its list, once its agent has it.
+/// Upper bound on the time in which a starting process reads the list that its agent already has.
 const LIST_READ_TIME: Duration = Duration::from_secs(1);
 
-/// A published list with its revision.
+/// A published endpoint list with its revision number.
 struct Revision {
     number: u64,
     list: Vec<Listing>,
 }
 
 impl Fleet {
-    /// Kills an upstream's process, and its sidecar's.
+    /// Kills the process of an upstream and the process of its sidecar.
     pub fn kill_upstream(&self, upstream: u32) {
         self.network
             .set_running(links::upstream_node(upstream), false);
@@ -32,11 +32,11 @@
         }
     }
 
-    /// Starts a new process of an upstream, and of its sidecar.
+    /// Starts a new process of an upstream and of its sidecar.
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start_balancers`].
+    /// See [`Fleet::start_balancers`].
     pub async fn restart_upstream(&self, upstream: u32) -> Result<(), ClusterError> {
         self.upstreams[upstream as usize].clone().restart().await;
         self.network
@@ -58,13 +58,13 @@
     /// Kills a balancer's process.
     pub fn kill_balancer(&self, number: u32) {
         self.balancers[number as usize].kill();
-        // A sidecar is not called through a relay; its node may be marked all the same.
+        // Calls to a sidecar bypass the proxy, so the running state of a sidecar's node has no effect.
         self.network
             .set_running(links::balancer_node(number), false);
         self.record_member_end(number);
     }
 
-    /// A balancer's process has ended, or is about to.
+    /// Records that the process of a balancer has ended or is about to end.
     pub fn record_member_end(&self, number: u32) {
         if let Some(membership) = &self.membership {
             self.network.set_running(links::member_node(number), false);
@@ -72,27 +72,30 @@
         }
     }
 
-    /// Starts balancers that do not run, all at once, with a list that is older than the present one by `staleness`.
+    /// Starts stopped balancers concurrently. Each balancer starts with the endpoint list that was current `staleness`
+    /// ago.
     ///
     /// # Errors
     ///
-    /// Where the files of a process cannot be written, it cannot be spawned, or does not come up.
+    /// If the files of a process cannot be written, the process cannot be spawned, or the process does not become
+    /// ready.
     pub async fn start_balancers(
         &self,
         numbers: &[u32],
         staleness: Duration,
     ) -> Result<(), ClusterError> {
         let (stale, last) = self.stale_and_last_list(staleness);
-        let (mut starting, mut notified) = (JoinSet::new(), Instant::now());
+        let (mut starting, mut notified_at) = (JoinSet::new(), Instant::now());
         for &number in numbers {
             let balancer = self.balancers[number as usize].clone();
-            let known = self.list_for(&balancer, &stale.list);
+            let initial_list = self.list_for(&balancer, &stale.list);
             if stale.number < last.number {
-                // Its agent has the stale list as well, and the rest reaches it with the usual delay.
-                balancer.agent.reset(stale.number, known.clone());
+                // The agent is reset to the stale list as well and receives the current list after the usual delay.
+                balancer.agent.reset(stale.number, initial_list.clone());
                 let entries = self.list_for(&balancer, &last.list);
                 let registry = &self.scenario.registry;
-                notified = notified.max(balancer.agent.publish(last.number, entries, registry));
+                notified_at =
+                    notified_at.max(balancer.agent.publish(last.number, entries, registry));
             }
             self.network.set_running(links::balancer_node(number), true);
             self.start_member(&balancer)?;
@@ -100,15 +103,15 @@
             let run_directory = self.run_directory.clone();
             starting.spawn(async move {
                 balancer
-                    .start(&run_directory, &scenario, seed, &known)
+                    .start(&run_directory, &scenario, seed, &initial_list)
                     .await
             });
         }
-        self.delay_drain_notifications(notified + LIST_READ_TIME);
+        self.delay_drain_notifications(notified_at + LIST_READ_TIME);
         join_all(starting).await
     }
 
-    /// The list that was in force so long ago, and the present one.
+    /// Returns the list that was current `staleness` ago, and the current list.
     fn stale_and_last_list(&self, staleness: Duration) -> (Revision, Revision) {
         let then = Instant::now()
             .checked_sub(staleness)
@@ -124,7 +127,7 @@
         (revision(stale), revision(history.len() - 1))
     }
 
-    /// Writes the files of a balancer's membership, and notes that it runs.
+    /// Writes the membership files of a balancer and records that its process runs.
     fn start_member(&self, balancer: &Balancer) -> Result<(), ClusterError> {
         let Some(membership) = &self.membership else {
             return Ok(());
@@ -141,7 +144,8 @@
         Ok(())
     }
 
-    /// A process that has not heard its list has not been notified of draining upstreams.
+    /// Postpones the time from which balancers count as notified of draining upstreams: a process that has not read its
+    /// list yet does not know of the drain.
     fn delay_drain_notifications(&self, until: Instant) {
         for upstream in &self.upstreams {
             if upstream.listing().state == TERMINATING {
--- a/crates/cluster-test/src/fleet/network.rs
+++ b/crates/cluster-test/src/fleet/network.rs
@@ -1,4 +1,4 @@
-//! The conditions of all links under the faults that are in force.
+//! Conditions of all links under the active faults.
 
 use super::{FaultTargets, Fleet};
 use crate::balancer::Balancer;
@@ -7,7 +7,7 @@
 use woadstall_load_test::lock;
 
 impl Fleet {
-    /// Sets the conditions of all links between balancers and upstreams and among members.
+    /// Sets the conditions of all links between balancers and upstreams, and of all links among members.
     pub fn update_links(&self) {
         let active = lock(&self.active_faults);
         for balancer in &self.balancers {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The faults that are in force, each with its targets of a kind.
+    /// Returns the active faults, each with the targets that `targets_of` selects.
     fn faults_in_force<'a>(
         &'a self,
         active: &'a [Option<FaultTargets>],
@@ -52,7 +52,8 @@
         faults.filter_map(move |(fault, targets)| Some((fault, targets_of(targets.as_ref()?))))
     }
 
-    /// The link from one member to another under the faults in `active`, by the balancers' numbers.
+    /// Returns the state of the link from one member to another under the faults in `active`. Members are identified by
+    /// the indices of their balancers.
     pub fn member_link(
         &self,
         active: &[Option<FaultTargets>],
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! The start of a fleet: upstreams first, balancers last, so that these find everything in its place.
+//! Start-up of a fleet. Upstreams, agents and proxies start before the balancers that connect to them.
 
 use super::Fleet;
 use crate::balancer::{Balancer, Endpoints};
@@ -24,55 +24,57 @@
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// What a fleet is started with.
+/// Parameters of a fleet.
 pub struct FleetSettings {
-    /// What is played.
+    /// The scenario of the run.
     pub scenario: Arc<Scenario>,
-    /// Finds broken rules.
+    /// Checks calls and upstreams for rule violations.
     pub rules: Arc<RuleChecker>,
-    /// Where processes are spawned.
+    /// The run directory, which spawns the processes.
     pub run_directory: Arc<RunDirectory>,
-    /// The source of all random numbers.
+    /// Seed of all random number generators of the run.
     pub seed: u64,
-    /// When callers begin.
+    /// The time at which callers start to send requests.
     pub start: Instant,
-    /// What is broken on purpose.
+    /// The rule to violate on purpose, if any.
     pub violation: Option<RuleViolation>,
 }
 
-/// Where a balancer stands, before it has an address.
+/// Tier, zone and sidecar relation of a balancer that has no address yet.
 #[derive(Clone, Copy)]
 struct Position {
     tier: usize,
     zone: u8,
-    /// The upstream that it is the sidecar of.
+    /// Index of the upstream whose sidecar the balancer is; `None` for other balancers.
     sidecar_of: Option<u32>,
 }
 
 impl Fleet {
-    /// Starts all upstreams and balancers, and returns once all serve.
+    /// Starts all upstreams and balancers, and returns once all processes are ready.
     ///
     /// # Errors
     ///
-    /// Where a socket, a folder or a process cannot be made, or a process does not come up.
+    /// If a socket, a directory or a process cannot be created, or a process does not become ready.
     pub async fn start(settings: FleetSettings) -> Result<Self, ClusterError> {
         let violation = settings.violation;
         let network = FaultProxy::new(settings.seed);
         let (upstreams, tier_bounds) = start_upstreams(&settings).await?;
         let mut proxies = Vec::new();
         let targets = upstream_targets(&upstreams, violation, &mut proxies).await?;
-        let mut fleet = Self::without_balancers(settings, network, upstreams, tier_bounds);
+        let mut fleet = Self::new_without_balancers(settings, network, upstreams, tier_bounds);
         fleet.add_balancers(&targets, &mut proxies).await?;
-        fleet._proxies = proxies;
+        fleet._violating_proxies = proxies;
         fleet.add_membership().await?;
         fleet.connect_tiers();
         fleet.update_links();
-        let all: Vec<u32> = (0..fleet.balancers.len() as u32).collect();
-        fleet.start_balancers(&all, Duration::ZERO).await?;
+        let balancer_numbers: Vec<u32> = (0..fleet.balancers.len() as u32).collect();
+        fleet
+            .start_balancers(&balancer_numbers, Duration::ZERO)
+            .await?;
         Ok(fleet)
     }
 
-    fn without_balancers(
+    fn new_without_balancers(
         settings: FleetSettings,
         network: FaultProxy,
         upstreams: Vec<Arc<Upstream>>,
@@ -97,7 +99,7 @@
             list_history: Mutex::new(vec![(Instant::now(), first_list)]),
             unresponsive_faults: Mutex::new(0),
             violation: settings.violation,
-            _proxies: Vec::new(),
+            _violating_proxies: Vec::new(),
             scenario,
         }
     }
@@ -120,7 +122,7 @@
         Ok(())
     }
 
-    /// The positions of all balancers, in the order in which the emulator numbers them.
+    /// Returns the positions of all balancers, in the order of the emulator's numbering.
     fn positions(&self) -> Vec<Position> {
         let (scenario, mut positions) = (&self.scenario, Vec::new());
         for (index, tier) in scenario.tier.iter().enumerate() {
@@ -201,8 +203,8 @@
         ))
     }
 
-    /// Where a balancer is called, closed until its process serves. A sidecar is called by its upstream alone, without a
-    /// network between them.
+    /// Creates the endpoint at which callers reach a balancer. The endpoint stays closed until the balancer's process
+    /// is ready. A sidecar is called only by its upstream, directly and without a proxy.
     async fn proxy_callers(
         &self,
         number: u32,
@@ -214,7 +216,9 @@
             Some(_) => listen,
             None => {
                 let mut target = listen;
-                let violation = self.violation.filter(|kind| kind.is_before_balancers());
+                let violation = self
+                    .violation
+                    .filter(|kind| kind.is_in_front_of_balancers());
                 if let Some(violation) = violation {
                     let proxy = ViolatingProxy::start(violation, listen).await?;
                     target = proxy.address;
@@ -230,7 +234,8 @@
         Ok(endpoint)
     }
 
-    /// By how much a balancer's clock is ahead: the same random number as in the emulator.
+    /// Draws the offset of a balancer's clock in milliseconds, with the same random number as the emulator. A positive
+    /// offset means that the clock is ahead.
     fn clock_offset_ms(&self, number: u32) -> i64 {
         let max_offset_ns = self.scenario.clocks.max_offset.0 as i64;
         let mut rng = stream(self.seed, Actor::Balancer, number);
@@ -258,7 +263,7 @@
         Ok(())
     }
 
-    /// Gives upstreams that call a next tier the balancers of that tier.
+    /// Sets the balancers that upstreams with calls to a next tier send these calls to.
     fn connect_tiers(&self) {
         for (index, tier) in self.scenario.tier.iter().enumerate() {
             let Some(calls) = &tier.calls else { continue };
@@ -272,21 +277,22 @@
             };
             let endpoint = |balancer: &Arc<Balancer>| balancer.endpoints.callers.clone();
             for upstream in self.upstreams_of_tier(index) {
-                let sidecar = balancers().find(|one| one.sidecar_of == Some(upstream));
-                let callable = match sidecar {
+                let sidecar = balancers().find(|balancer| balancer.sidecar_of == Some(upstream));
+                let callable_balancers = match sidecar {
                     Some(sidecar) => vec![endpoint(sidecar)],
                     None => balancers().map(endpoint).collect(),
                 };
                 self.upstreams[upstream as usize].set_next_tier(NextTier {
                     mean_calls: calls.mean,
-                    balancers: callable,
+                    balancers: callable_balancers,
                 });
             }
         }
     }
 }
 
-/// Starts all upstreams, tier by tier, and returns the first of each tier as well, with the end of the last.
+/// Starts all upstreams in the order of their tiers. Also returns the index of the first upstream of each tier,
+/// followed by the total number of upstreams.
 async fn start_upstreams(
     settings: &FleetSettings,
 ) -> Result<(Vec<Arc<Upstream>>, Vec<usize>), ClusterError> {
@@ -315,13 +321,14 @@
     Ok((upstreams, tier_bounds))
 }
 
-/// Where the links to each upstream lead: to it, or to a proxy before it that breaks a rule.
+/// Returns the target address of the links to each upstream: the upstream itself, or a proxy in front of it that
+/// violates a rule.
 async fn upstream_targets(
     upstreams: &[Arc<Upstream>],
     violation: Option<RuleViolation>,
     proxies: &mut Vec<ViolatingProxy>,
 ) -> Result<Vec<SocketAddr>, ClusterError> {
-    let Some(violation) = violation.filter(|kind| kind.is_before_upstreams()) else {
+    let Some(violation) = violation.filter(|kind| kind.is_in_front_of_upstreams()) else {
         return Ok(upstreams.iter().map(|upstream| upstream.address).collect());
     };
     let mut targets = Vec::new();
