--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -1,5 +1,5 @@
-//! The scenario's faults: each is applied when it is due, to the same upstreams and balancers as in the emulator's run of
-//! the same seed, and reverted when it is over.
+//! Injection of the scenario's faults. Each fault is applied at its start time, to the same upstreams and balancers as
+//! in the emulator's run with the same seed, and reverted at its end time.
 
 mod power_loss;
 mod rolling;
@@ -16,15 +16,15 @@
 use woadstall_load_test::schedule::CRASH_RECOVERY;
 use woadstall_load_test::upstream::listing::{GONE, IN_SERVICE};
 
-/// How often upstreams are checked for having crashed under overload.
+/// Interval of checks for upstreams that crashed under overload.
 const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Fleet {
-    /// Applies all faults. Returns with the first that failed; otherwise it runs until it is dropped.
+    /// Applies all faults. Returns the first error; without an error the future runs until it is dropped.
     ///
     /// # Errors
     ///
-    /// Where a process cannot be started again, or its files not be damaged.
+    /// If a process cannot be restarted or its files cannot be damaged.
     pub async fn run_faults(self: Arc<Self>) -> Result<(), ClusterError> {
         let mut faults = JoinSet::new();
         for index in 0..self.scenario.fault.len() {
@@ -34,7 +34,7 @@
         join_all(faults).await
     }
 
-    /// Restarts upstreams that crashed under overload, unless a fault keeps them down.
+    /// Restarts upstreams that crashed under overload, except upstreams that an active fault keeps down.
     async fn restart_crashed_upstreams(self: Arc<Self>) -> Result<(), ClusterError> {
         let mut restarts = JoinSet::new();
         loop {
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Whether a fault that is in force has killed an upstream.
+    /// Whether an active fault has killed an upstream.
     fn is_down_by_fault(&self, upstream: u32) -> bool {
         let kills =
-            |what: &FaultKind| matches!(what, FaultKind::Kill { .. } | FaultKind::PowerLoss { .. });
+            |kind: &FaultKind| matches!(kind, FaultKind::Kill { .. } | FaultKind::PowerLoss { .. });
         let active = lock(&self.active_faults);
         let mut faults = self.scenario.fault.iter().zip(active.iter());
         faults.any(|(fault, targets)| {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// What a fault hits: the same random numbers as in the emulator, and the same candidates.
+    /// Draws the targets of a fault, with the same random numbers and the same candidates as the emulator.
     fn draw_targets(&self, index: usize) -> FaultTargets {
         let fault = &self.scenario.fault[index];
         let tier = fault
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Waits for a fault, applies it and reverts it.
+    /// Waits until a fault is due, applies it, and reverts it at its end.
     async fn run_fault(self: Arc<Self>, index: usize) -> Result<(), ClusterError> {
         let fault = self.scenario.fault[index].clone();
         self.schedule.fault_begin(&fault).await;
@@ -117,10 +117,10 @@
             fault = index + 1,
             upstreams = ?targets.upstreams,
             balancers = ?targets.balancers,
-            "fault begins"
+            "applying fault"
         );
         match &fault.kind {
-            FaultKind::Kill { .. } => self.kill_for_a_while(&fault, index, &targets).await,
+            FaultKind::Kill { .. } => self.kill_until_end(&fault, index, &targets).await,
             FaultKind::PowerLoss { stale, over, files } => {
                 let settings = power_loss::Settings {
                     staleness: Duration::from_nanos(stale.0),
@@ -156,13 +156,13 @@
         }
     }
 
-    /// Applies or reverts a fault that no process has to be started for.
-    fn set_fault(&self, what: &FaultKind, targets: &FaultTargets, active: bool) {
+    /// Applies or reverts a fault that starts no process.
+    fn set_fault(&self, kind: &FaultKind, targets: &FaultTargets, active: bool) {
         let upstreams = || {
             let numbers = targets.upstreams.iter();
             numbers.map(|&number| &self.upstreams[number as usize])
         };
-        match what {
+        match kind {
             FaultKind::PauseBalancers => self.set_suspended(&targets.balancers, active),
             FaultKind::SuspendUpstreams => {
                 upstreams().for_each(|upstream| upstream.set_suspended(active))
@@ -176,11 +176,11 @@
                     }
                 }
             }
-            what => upstreams().for_each(|upstream| upstream.set_fault(what, active)),
+            kind => upstreams().for_each(|upstream| upstream.set_fault(kind, active)),
         }
     }
 
-    async fn kill_for_a_while(
+    async fn kill_until_end(
         &self,
         fault: &Fault,
         index: usize,
@@ -196,7 +196,8 @@
         Ok(())
     }
 
-    /// Lists killed upstreams as gone once discovery has noticed it, and waits for the end of the fault.
+    /// Sets the listed state of killed upstreams to `GONE` after discovery's detection delay, then waits for the end of
+    /// the fault.
     async fn unlist_until_end(&self, fault: &Fault, index: usize, targets: &FaultTargets) {
         self.schedule.fault_noticed(fault).await;
         for &upstream in &targets.upstreams {
@@ -221,14 +222,14 @@
         self.start_balancers(&targets.balancers, staleness).await
     }
 
-    /// Damages what the next processes of balancers find in their folders.
+    /// Damages the files that the next process of each balancer finds in its directory.
     fn damage_files(&self, balancers: &[u32], files: StoredFiles) -> Result<(), ClusterError> {
         for &number in balancers {
             let next = (number as usize + 1) % self.balancers.len();
             let process = &self.balancers[number as usize].process;
-            let stranger = &self.balancers[next].process;
+            let donor = &self.balancers[next].process;
             process
-                .damage_files(files, stranger)
+                .damage_files(files, donor)
                 .map_err(|source| ClusterError::Process {
                     process: process.name.clone(),
                     source,
@@ -237,7 +238,7 @@
         Ok(())
     }
 
-    /// Suspends the processes of balancers, or resumes them.
+    /// Suspends or resumes the processes of balancers.
     fn set_suspended(&self, balancers: &[u32], suspended: bool) {
         for &number in balancers {
             let balancer = &self.balancers[number as usize];
--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -1,4 +1,5 @@
-//! A power loss: balancers, upstreams and the machines of members are down at once, and come back when power does.
+//! Power loss: balancers, upstreams and the machines of members fail at the same instant, and restart when power
+//! returns.
 
 use crate::error::ClusterError;
 use crate::fleet::{FaultTargets, Fleet};
@@ -6,13 +7,13 @@
 use std::time::Duration;
 use woadstall_emulator::{Fault, StoredFiles};
 
-/// What a power loss is set to.
+/// Parameters of a power loss.
 pub struct Settings {
-    /// The age of the lists that balancers come back with.
+    /// Age of the endpoint lists that balancers restart with.
     pub staleness: Duration,
-    /// The time over which upstreams come back, one after the other.
+    /// Time span over which upstreams restart one after the other.
     pub boot_window: Duration,
-    /// What balancers find of their files.
+    /// Damage to the stored files of the balancers.
     pub files: StoredFiles,
 }
 
@@ -24,7 +25,7 @@
         targets: &FaultTargets,
         settings: Settings,
     ) -> Result<(), ClusterError> {
-        // At one instant: the signals come first, and nothing that takes time between them.
+        // All kill signals are sent first, without slow work in between, so that the processes fail at one instant.
         for &balancer in &targets.balancers {
             self.kill_balancer(balancer);
         }
@@ -35,7 +36,7 @@
         self.damage_files(&targets.balancers, settings.files)?;
         self.unlist_until_end(fault, index, targets).await;
         self.set_powered(targets, true);
-        let is_no_sidecar = |number: &u32| {
+        let is_not_sidecar = |number: &u32| {
             let balancer = &self.balancers[*number as usize];
             balancer.sidecar_of.is_none()
         };
@@ -43,9 +44,10 @@
             .balancers
             .iter()
             .copied()
-            .filter(is_no_sidecar)
+            .filter(is_not_sidecar)
             .collect();
-        // Power is back for all at once: upstreams do not wait until balancers are up, which may take long.
+        // Power returns to all machines at once: upstreams restart without waiting for the balancers, whose start may
+        // take long.
         tokio::try_join!(
             self.start_balancers(&balancers, settings.staleness),
             self.boot_upstreams(fault, &targets.upstreams, settings.boot_window)
@@ -53,7 +55,7 @@
         Ok(())
     }
 
-    /// Restarts upstreams, spread evenly over a time from the end of the fault on.
+    /// Restarts upstreams at evenly spaced times within `window` after the end of the fault.
     async fn boot_upstreams(
         &self,
         fault: &Fault,
@@ -69,14 +71,15 @@
         Ok(())
     }
 
-    /// The machines of balancers have power or none. Without it they do not even refuse connections.
+    /// Sets whether the machines of balancers have power. A machine without power does not even refuse connections.
     fn set_powered(&self, targets: &FaultTargets, powered: bool) {
         let Some(membership) = &self.membership else {
             return;
         };
         for &number in &targets.balancers {
             membership.set_powered(number, powered);
-            // A node that does not run refuses what is sent to it. Without power nothing does: its links drop it.
+            // The proxy refuses connections to a node whose process is stopped. A machine without power refuses
+            // nothing, so its node counts as running while its partitioned links drop all traffic.
             self.network
                 .set_running(links::member_node(number), !powered);
         }
--- a/crates/cluster-test/src/faults/rolling.rs
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -11,11 +11,11 @@
 use woadstall_load_test::schedule::ROLL_DOWNTIME;
 use woadstall_load_test::upstream::listing::TERMINATING;
 
-/// How long a graceful shutdown may take beyond the longest deadline of a call.
+/// Time that a graceful shutdown may take beyond the longest deadline of a call.
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(5);
 
 impl Fleet {
-    /// Drains and restarts upstreams, spread evenly over the first half of the fault.
+    /// Drains and restarts upstreams at evenly spaced times within the first half of the fault.
     pub(super) async fn roll_upstreams(
         self: &Arc<Self>,
         fault: &Fault,
@@ -38,7 +38,7 @@
         join_all(restarts).await
     }
 
-    /// Shuts balancers down and starts them again, spread evenly over the fault.
+    /// Shuts down and restarts balancers at evenly spaced times during the fault.
     pub(super) async fn roll_balancers(
         self: &Arc<Self>,
         fault: &Fault,
--- a/crates/cluster-test/src/links.rs
+++ b/crates/cluster-test/src/links.rs
@@ -1,33 +1,34 @@
-//! The scenario's network and its faults as conditions of the fault proxy's links.
+//! Conversion of the scenario's network and faults to link conditions of the fault proxy.
 
 use std::time::Duration;
 use woadstall_emulator::{Fault, FaultKind, Scenario};
 use woadstall_fault_proxy::{LinkConditions, NodeId};
 
-/// Shorter delays count as none: timers are not finer, and the relays take a tenth of a millisecond.
+/// Shorter delays are set to zero: timers have no finer resolution, and the proxies themselves add 0.1 ms.
 const MIN_DELAY: Duration = Duration::from_micros(500);
 
-/// The callers of a zone.
+/// Returns the node of all callers of a zone.
 pub fn callers_node(zone: u8) -> NodeId {
     NodeId(1 + u32::from(zone))
 }
 
-/// A balancer, by its number among all.
+/// Returns the node of a balancer by its index among all balancers.
 pub fn balancer_node(number: u32) -> NodeId {
     NodeId(1_024 + number)
 }
 
-/// An upstream, by its number among all.
+/// Returns the node of an upstream by its index among all upstreams.
 pub fn upstream_node(number: u32) -> NodeId {
     NodeId(16_384 + number)
 }
 
-/// The discovery agent of a balancer.
+/// Returns the node of a balancer's discovery agent.
 pub fn agent_node(number: u32) -> NodeId {
     NodeId(32_768 + number)
 }
 
-/// A balancer as a member among the others: its machine may be reachable where its process is not.
+/// Returns the node of a balancer in its role as a member. It is separate from the balancer's node because a member's
+/// machine may be reachable while its process is stopped.
 pub fn member_node(number: u32) -> NodeId {
     NodeId(49_152 + number)
 }
@@ -35,29 +36,29 @@
 /// The direction of a link between a balancer and an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Requests.
+    /// Direction of requests, from the balancer to the upstream.
     ToUpstream,
-    /// Responses.
+    /// Direction of responses, from the upstream to the balancer.
     FromUpstream,
 }
 
-/// A link between a balancer and an upstream.
+/// One direction of the connection between a balancer and an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamLink {
-    /// The balancer's zone.
+    /// Index of the balancer's zone.
     pub balancer_zone: u8,
-    /// The upstream's zone.
+    /// Index of the upstream's zone.
     pub upstream_zone: u8,
-    /// The upstream's number among all.
+    /// Index of the upstream among all upstreams.
     pub upstream: u32,
-    /// Its direction.
+    /// Direction of the traffic on the link.
     pub direction: Direction,
 }
 
-/// A fault that is in force, and the numbers of the upstreams, or of the balancers, that it hits.
+/// An active fault with the indices of its targets, which are upstreams or balancers.
 pub type ActiveFault<'a> = (&'a Fault, &'a [u32]);
 
-/// The conditions of a link between a balancer and an upstream under the faults that are in force.
+/// Returns the conditions of a link between a balancer and an upstream under the active faults.
 pub fn upstream_link_conditions<'a>(
     scenario: &Scenario,
     link: UpstreamLink,
@@ -79,13 +80,13 @@
     let (mut delay_factor, mut extra_delay_ns) = (1.0, 0);
     let (mut loss, mut partitioned) = (network.loss, false);
     for (fault, upstreams) in faults {
-        let hits_link = crosses_zones && fault.zone.as_ref() == upstream_zone;
+        let affects_link = crosses_zones && fault.zone.as_ref() == upstream_zone;
         match &fault.kind {
             FaultKind::PartitionTo => {
-                partitioned |= hits_link && link.direction == Direction::ToUpstream
+                partitioned |= affects_link && link.direction == Direction::ToUpstream
             }
             FaultKind::PartitionFrom => {
-                partitioned |= hits_link && link.direction == Direction::FromUpstream
+                partitioned |= affects_link && link.direction == Direction::FromUpstream
             }
             FaultKind::SlowLink(factor) if upstreams.contains(&link.upstream) => {
                 delay_factor *= factor
@@ -108,7 +109,7 @@
     }
 }
 
-/// A delay as the fault proxy gets it: none where it is too short to be kept.
+/// Returns the delay to configure in the fault proxy: zero for delays below [`MIN_DELAY`].
 pub fn effective_delay(nanos: u64) -> Duration {
     let delay = Duration::from_nanos(nanos);
     if delay < MIN_DELAY {
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -1,5 +1,5 @@
-//! Membership among the balancers' processes: what each is configured with, and what each reports of the others, compared
-//! with who really runs.
+//! Membership among the balancer processes: configures each process, and compares each member's reports about the
+//! others with the set of running processes.
 
 mod observations;
 mod settings;
@@ -25,56 +25,56 @@
 
 const KEY_BYTES: usize = 32;
 
-/// Where the members find a member.
+/// Addresses of a member.
 struct MemberAddress {
-    /// Where its process listens.
+    /// Listen address of the member's process.
     listen: SocketAddr,
-    /// Where the others send to: the fault proxy before it.
+    /// Address that other members send to: a fault proxy in front of the listen address.
     advertised: SocketAddr,
 }
 
-/// What a member has reported of itself.
+/// State that a member has reported about itself.
 #[derive(Clone, Debug, Default)]
 struct ReportedState {
-    /// The start of its present incarnation, Unix time in milliseconds.
+    /// Start of the current incarnation, as Unix time in milliseconds.
     started_ms: Option<u64>,
-    /// Bytes that its former incarnations have sent.
-    former_bytes: u64,
-    /// Bytes that its present incarnation has sent.
-    present_bytes: u64,
-    /// The last report of its present incarnation.
+    /// Bytes sent by earlier incarnations.
+    previous_bytes_sent: u64,
+    /// Bytes sent by the current incarnation.
+    current_bytes_sent: u64,
+    /// Last report of the current incarnation.
     last_report: Option<Report>,
 }
 
-/// What is known of the members. Under one lock: with two, each thread would have to take them in
-/// the same order.
+/// Observed state of the members. One mutex guards both fields: with two mutexes, every thread would have to lock them
+/// in the same order to avoid a deadlock.
 struct MemberViews {
-    /// Compares what members report with who runs.
+    /// Compares the reports of members with the set of running members.
     observer: MembershipObserver,
-    /// What each member has reported.
+    /// Last reported state of each member.
     reported: Vec<ReportedState>,
 }
 
-/// See the module's documentation. Members are numbered as the balancers are.
+/// Membership configuration and observed state. A member has the index of its balancer.
 pub struct Membership {
     addresses: Vec<MemberAddress>,
-    /// The shared key, in hexadecimal digits.
+    /// The shared key of the membership protocol, in hexadecimal digits.
     key: String,
-    /// What is known of the members.
+    /// Observed state of the members.
     views: Mutex<MemberViews>,
-    /// What each member makes of zones, where they evacuate them together.
+    /// Evacuation state of the zones as reported by each member.
     evacuations: Mutex<EvacuationTracker>,
-    /// The members whose machines have no power.
+    /// Indices of the members whose machines have no power.
     unpowered: Mutex<BTreeSet<u32>>,
     start: Instant,
 }
 
 impl Membership {
-    /// The membership of a fleet, none of which runs yet. Callers begin at `start`.
+    /// Creates the membership of a fleet whose processes are not running yet. Callers start at `start`.
     ///
     /// # Errors
     ///
-    /// Where no port is free, or a proxy cannot listen.
+    /// If no port is free, or the listener of a proxy cannot be created.
     pub async fn new(
         members: &MembershipConfig,
         network: &FaultProxy,
@@ -111,18 +111,18 @@
         })
     }
 
-    /// The time since callers began, in nanoseconds.
+    /// Returns the time since the start of callers, in nanoseconds.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64
     }
 
-    /// A balancer's process runs, or no longer does.
+    /// Records whether the process of a balancer runs.
     pub fn set_running(&self, number: u32, running: bool) {
         let mut views = lock(&self.views);
         let member = &mut views.reported[number as usize];
         member.started_ms = None;
         member.last_report = None;
-        member.former_bytes += std::mem::take(&mut member.present_bytes);
+        member.previous_bytes_sent += std::mem::take(&mut member.current_bytes_sent);
         views
             .observer
             .set_running(self.now(), number as usize, running);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A balancer's machine has power, or has lost it.
+    /// Records whether the machine of a balancer has power.
     pub fn set_powered(&self, number: u32, powered: bool) {
         let mut unpowered = lock(&self.unpowered);
         if powered {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A balancer's process is suspended, or resumed.
+    /// Records whether the process of a balancer is suspended.
     pub fn set_suspended(&self, number: u32, suspended: bool) {
         let mut views = lock(&self.views);
         views
@@ -149,7 +149,8 @@
             .set_paused(self.now(), number as usize, suspended);
     }
 
-    /// Sets the conditions of the links among all members, as `link` has them from one to another.
+    /// Sets the conditions of the links among all members. `link` returns the state of the link from one member to
+    /// another.
     pub fn update_links(
         &self,
         network: &FaultProxy,
--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -1,4 +1,4 @@
-//! What members report, and what comes of it over a run.
+//! Evaluation of the members' reports over a run.
 
 use super::{MemberViews, Membership, ReportedState};
 use crate::balancer::Balancer;
@@ -8,30 +8,31 @@
 use woadstall_load_test::lock;
 use woadstall_membership_net::{MemberReport, PathReport, Report};
 
-/// The name of the program's thread that runs the membership.
+/// Name of the program's thread that runs the membership protocol.
 const MEMBERSHIP_THREAD: &str = "instances";
-/// Bounds the uptime from below, so that a share of it is finite.
+/// Lower bound of the uptime that run times are divided by, so that the quotient is finite.
 const MIN_UPTIME_S: f64 = 1e-3;
 
 impl Membership {
-    /// Records what a member reports of itself and of the others.
+    /// Records a member's report about itself and the other members.
     pub fn record_report(&self, number: usize, report: Report) {
         let now = self.now();
         let mut views = lock(&self.views);
         let MemberViews { observer, reported } = &mut *views;
         if !observer.is_active(number) {
-            return; // requested before it was suspended or ended
+            return; // the report was requested before the member was suspended or stopped
         }
         reported[number].started_ms = Some(report.started_ms);
-        reported[number].present_bytes = report.bytes_sent;
+        reported[number].current_bytes_sent = report.bytes_sent;
         for row in &report.members {
             let Some(of) = member_number(&row.name).filter(|of| *of < reported.len()) else {
                 continue;
             };
             let state = match reported[of].started_ms {
-                // One that has just started has not reported its incarnation: the row is of the former.
+                // A member that has just started has not reported its incarnation yet: the row may describe the
+                // previous incarnation.
                 None if observer.is_active(of) => MemberView::Unknown,
-                // Of one whose process has ended, its last incarnation counts.
+                // For a member whose process has ended, the row must describe its last incarnation.
                 started_ms => state_in(row, started_ms),
             };
             observer.record_view(now, number, of, state);
@@ -39,7 +40,7 @@
         reported[number].last_report = Some(report);
     }
 
-    /// Records which zones a member has evacuated, and how far.
+    /// Records the share of each zone that a member has evacuated.
     pub fn record_evacuation(&self, number: usize, status: &Status) {
         let (now, balancer) = (self.now(), number as u32);
         for place in status.domains.iter() {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Records which partitioned links both ends have reported as such last.
+    /// Compares the partitioned links with the last reports of the members at both ends of each link.
     pub fn record_partitions(&self, is_partitioned: impl Fn(usize, usize) -> bool) {
         let now = self.now();
         let mut views = lock(&self.views);
@@ -75,21 +76,22 @@
         observer.record_path_reports(now, observations);
     }
 
-    /// All that was observed of the members until now.
-    pub fn members_end(&self) -> MembershipReport {
+    /// Returns the membership results up to now.
+    pub fn membership_report(&self) -> MembershipReport {
         let views = lock(&self.views);
-        let sent = |member: &ReportedState| member.former_bytes + member.present_bytes;
+        let sent = |member: &ReportedState| member.previous_bytes_sent + member.current_bytes_sent;
         let bytes: Vec<u64> = views.reported.iter().map(sent).collect();
         let now = self.now();
         views.observer.clone().end(now, &bytes, now)
     }
 
-    /// All that was observed of evacuated zones until now.
-    pub fn evacuations_end(&self) -> EvacuationReport {
+    /// Returns the evacuation results up to now.
+    pub fn evacuation_report(&self) -> EvacuationReport {
         lock(&self.evacuations).clone().end(self.now())
     }
 
-    /// The share of a core that the membership thread of each running process has used since its start.
+    /// Returns, for each running process, the share of a core that its membership thread has used since the process
+    /// started.
     pub fn cores(&self, balancers: &[Arc<Balancer>]) -> Vec<f64> {
         let views = lock(&self.views);
         let share = |(balancer, member): (&Arc<Balancer>, &ReportedState)| {
@@ -105,7 +107,8 @@
     }
 }
 
-/// The state that a row has a member in, if it is of this incarnation.
+/// Converts the member state in a row of a report. Returns [`MemberView::Unknown`] if the row describes an incarnation
+/// other than the one started at `started_ms`.
 fn state_in(row: &MemberReport, started_ms: Option<u64>) -> MemberView {
     if started_ms.is_some_and(|started_ms| started_ms != row.started_ms) {
         return MemberView::Unknown;
@@ -119,7 +122,7 @@
     }
 }
 
-/// The number of the balancer of this name.
+/// Parses the index of a balancer from its name.
 fn member_number(name: &str) -> Option<usize> {
     name.strip_prefix("balancer-")?.parse().ok()
 }
--- a/crates/cluster-test/src/membership/settings.rs
+++ b/crates/cluster-test/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! The files that configure the membership of a process.
+//! Files that configure the membership of a process.
 
 use super::Membership;
 use crate::balancer::Balancer;
@@ -7,15 +7,15 @@
 use std::io;
 use woadstall_emulator::{MembershipConfig, Scenario, Span};
 
-/// How many members a new one may join through.
+/// Number of seed members that a new member can join through.
 const SEEDS: usize = 3;
 
 impl Membership {
-    /// Writes the key and the operators' file of a balancer's next process.
+    /// Writes the key file and the operators' file for the next process of a balancer.
     ///
     /// # Errors
     ///
-    /// Where a file cannot be written.
+    /// If a file cannot be written.
     pub fn write_settings(&self, scenario: &Scenario, balancer: &Balancer) -> io::Result<()> {
         let Some(members) = &scenario.members else {
             return Ok(());
@@ -62,14 +62,14 @@
     }
 }
 
-/// The section of the evacuation of zones, if the scenario has one.
+/// Returns the `[evacuation]` section of the operators' file, or an empty string if the scenario has no evacuation.
 fn evacuation_section(scenario: &Scenario) -> String {
     let mut text = String::new();
     let Some(evacuation) = &scenario.evacuation else {
         return text;
     };
-    let every_ms = millis(evacuation.interval);
-    let _ = writeln!(text, "[evacuation]\nevery_ms = {every_ms}");
+    let interval_ms = millis(evacuation.interval);
+    let _ = writeln!(text, "[evacuation]\nevery_ms = {interval_ms}");
     let _ = writeln!(text, "[evacuation.regions]");
     for (zone, region) in &scenario.regions {
         let _ = writeln!(text, "{zone:?} = {region:?}");
--- a/crates/cluster-test/src/membership/tests.rs
+++ b/crates/cluster-test/src/membership/tests.rs
@@ -1,14 +1,15 @@
-//! Threads that report of members and start and end them at the same time.
+//! Concurrent reports, starts and stops of members.
 
 use super::*;
 use std::sync::mpsc::channel;
 use std::thread::spawn;
 use std::time::Duration;
 
-/// How often each thread does its part: with two locks taken in two orders, they meet within some hundreds.
+/// Iterations of each thread. With two mutexes locked in opposite orders, a deadlock occurs within a few hundred
+/// iterations.
 const ROUNDS: usize = 20_000;
-/// Far longer than the rounds take.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit for all iterations, far longer than they take.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn membership_of_two() -> Membership {
     Membership {
@@ -25,24 +26,24 @@
 }
 
 #[test]
-fn members_that_start_and_end_do_not_block_those_who_report() {
+fn starts_and_stops_do_not_deadlock_with_reports() {
     let membership = Arc::new(membership_of_two());
     let (ended, has_ended) = channel();
-    let parts: [fn(&Membership, usize); 3] = [
+    let operations: [fn(&Membership, usize); 3] = [
         |membership, round| membership.set_running(0, round % 2 == 0),
         |membership, _| membership.record_partitions(|_, _| false),
-        |membership, _| drop(membership.members_end()),
+        |membership, _| drop(membership.membership_report()),
     ];
-    for part in parts {
+    for operation in operations {
         let (membership, ended) = (membership.clone(), ended.clone());
         spawn(move || {
-            (0..ROUNDS).for_each(|round| part(&membership, round));
+            (0..ROUNDS).for_each(|round| operation(&membership, round));
             ended.send(()).ok();
         });
     }
-    for _ in parts {
+    for _ in operations {
         has_ended
-            .recv_timeout(PATIENCE)
-            .expect("no thread waits for another for ever");
+            .recv_timeout(JOIN_TIMEOUT)
+            .expect("every thread finishes without a deadlock");
     }
 }
--- a/crates/cluster-test/src/membership_poll.rs
+++ b/crates/cluster-test/src/membership_poll.rs
@@ -1,5 +1,4 @@
-//! The poll of all running balancers at their operators' interface: whom they see as members, and which zones they have
-//! evacuated.
+//! Polling of the operators' interface of all running balancers for their membership reports and their evacuated zones.
 
 use crate::balancer::Balancer;
 use crate::fleet::Fleet;
@@ -25,7 +24,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// No further requests are sent while more than this many a balancer are pending.
+/// No further requests are sent while the number of pending requests per balancer exceeds this limit.
 const MAX_PENDING_PER_BALANCER: usize = 2;
 
 type HttpClient = Client<HttpConnector, Empty<Bytes>>;
@@ -36,10 +35,10 @@
     Evacuation(Status),
 }
 
-/// A balancer's number, and its response if there was one.
+/// Index of a balancer and its response; `None` if the request failed or timed out.
 type PollResult = (usize, Option<OperatorResponse>);
 
-/// Polls until it is dropped. Returns at once where there is no membership.
+/// Polls all running balancers until the future is dropped. Returns at once if the scenario has no membership.
 pub async fn poll(fleet: Arc<Fleet>) {
     let Some(membership) = &fleet.membership else {
         return;
@@ -71,14 +70,15 @@
             continue;
         }
         for balancer in &fleet.balancers {
-            if balancer.is_to_run() {
+            if balancer.is_expected_to_run() {
                 send_requests(&fleet.scenario, balancer, &client, &mut pending);
             }
         }
     }
 }
 
-/// The times at which the scenario's bounds want partitions to be reported, in nanoseconds, in ascending order.
+/// Returns the times at which the scenario's bounds require partitions to be reported, in nanoseconds, in ascending
+/// order.
 fn partition_check_times(scenario: &Scenario) -> VecDeque<u64> {
     let mut times: Vec<u64> = scenario
         .bound
@@ -125,7 +125,7 @@
     }
 }
 
-/// Reads a JSON document; `None` where there is none in time.
+/// Requests a JSON document. Returns `None` if the request fails, times out or returns invalid JSON.
 async fn get<T: DeserializeOwned>(
     client: HttpClient,
     address: SocketAddr,
--- a/crates/cluster-test/src/ports.rs
+++ b/crates/cluster-test/src/ports.rs
@@ -1,42 +1,44 @@
-//! Addresses and ports for the processes of balancers.
+//! Addresses and ports of the balancer processes.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::net::TcpListener;
 
-/// What a port of a balancer is for. The value is the first of [`CANDIDATES`] ports that are tried. They lie under the
-/// ephemeral ports of the system: an outgoing connection could take a port while the balancer's process is down.
+/// Purpose of a balancer's port. The value is the lower end of the range of [`CANDIDATES`] ports to try. The ranges lie
+/// below the ephemeral ports of the system, since an outgoing connection could take an ephemeral port while the
+/// balancer's process is stopped.
 #[derive(Clone, Copy, Debug)]
 pub enum Port {
-    /// Callers call it.
+    /// Requests of callers.
     Calls = 20_000,
-    /// Operators call it.
+    /// The operators' interface.
     Operators = 22_000,
-    /// Other balancers find it as a member.
+    /// The membership protocol.
     Members = 24_000,
 }
 
-/// How many ports are tried.
+/// Number of ports to try for each purpose.
 const CANDIDATES: u16 = 1_000;
 
-/// A free address for the calls of a balancer, with an IP address of its own.
+/// Returns a free listen address for the requests of a balancer. Each balancer has its own loopback IP address.
 ///
 /// # Errors
 ///
-/// As [`free_port`].
+/// See [`free_port`].
 pub async fn balancer_address(number: u32) -> io::Result<SocketAddr> {
     let [_, _, high, low] = number.to_be_bytes();
-    // Several runs on one machine have different ones, so that a free port stays free until it is taken.
+    // Concurrent runs on one machine use different IP addresses, so that no other run takes a free port before the
+    // balancer binds it.
     let run = 80 + (std::process::id() % 170) as u8;
     let ip = Ipv4Addr::new(127, run, high, low.wrapping_add(1));
     free_port(IpAddr::V4(ip), Port::Calls).await
 }
 
-/// A free port at an IP address.
+/// Returns an address with a free port at an IP address.
 ///
 /// # Errors
 ///
-/// Where no port is free, or the address cannot be bound for another reason.
+/// If no port is free, or the address cannot be bound for another reason.
 pub async fn free_port(ip: IpAddr, port: Port) -> io::Result<SocketAddr> {
     let first = port as u16 + (std::process::id() % u32::from(CANDIDATES)) as u16;
     for candidate in first..first + CANDIDATES {
