--- a/crates/cluster-test/src/arguments.rs
+++ b/crates/cluster-test/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
--- a/crates/cluster-test/src/commands.rs
+++ b/crates/cluster-test/src/commands.rs
@@ -1,4 +1,5 @@
-//! The subcommands. Each returns the exit code; a [`CommandError`] is printed and ends with code 3.
+//! The subcommands. Each subcommand returns the exit code of the program. A [`CommandError`] is logged and leads to
+//! exit code 3.
 
 mod compare;
 mod run;
@@ -10,10 +11,10 @@
 use woadstall_cluster_test::{check_supported, remove_leftovers};
 use woadstall_emulator_cli::grid::{Overrides, ScenarioFile};
 
-/// A file, a scenario or a program is wrong.
+/// An invalid file, scenario or program.
 pub type CommandError = Box<dyn std::error::Error>;
 
-/// Executes a subcommand.
+/// Executes a subcommand and returns the exit code.
 pub fn execute(command: Command) -> Result<u8, CommandError> {
     match command {
         Command::Run(arguments) => run::run(arguments),
@@ -50,14 +51,14 @@
     Ok(0)
 }
 
-/// Removes what earlier runs have left behind, and returns of how many.
+/// Kills leftover processes and removes leftover directories of earlier runs. Returns the number of these runs.
 fn clean() -> Result<usize, CommandError> {
     let leftovers = remove_leftovers(&std::env::temp_dir())?;
     for leftover in &leftovers {
         warn!(
             folder = %leftover.folder.display(),
             killed = leftover.processes.len(),
-            "leftovers of an earlier run removed"
+            "removed leftover directory and processes of an earlier run"
         );
     }
     Ok(leftovers.len())
--- a/crates/cluster-test/src/commands/compare.rs
+++ b/crates/cluster-test/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: prints a run with processes and the emulator's run of the same scenario side by side.
+//! The `compare` subcommand: prints a cluster run and the emulator's run of the same scenario side by side.
 
 use super::CommandError;
 use crate::arguments::CompareArguments;
@@ -48,5 +48,5 @@
 
 fn last_row(path: &Path) -> Result<Row, CommandError> {
     let last = rows::read(path)?.pop();
-    last.ok_or_else(|| format!("{}: no rows", path.display()).into())
+    last.ok_or_else(|| format!("{}: file contains no result rows", path.display()).into())
 }
--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays a scenario and prints the result.
+//! The `run` subcommand: executes a scenario and prints the result.
 
 use super::{CommandError, clean};
 use crate::arguments::RunArguments;
@@ -17,7 +17,7 @@
 const FAILED: u8 = 1;
 const TOO_SLOW: u8 = 4;
 const INTERRUPTED: u8 = 130;
-/// What rows name in place of the emulator's policy.
+/// Policy name in the result rows of cluster runs; the emulator's rows name one of its policies there.
 const ROW_POLICY: &str = "rig";
 
 pub fn run(arguments: RunArguments) -> Result<u8, CommandError> {
@@ -26,11 +26,11 @@
     check_supported(&scenario)?;
     clean()?;
     let options = options(&arguments)?;
-    let played = play(scenario.clone(), &options)?;
+    let outcome = execute(scenario.clone(), &options)?;
     if options.show_progress {
         eprintln!();
     }
-    let result = match played {
+    let result = match outcome {
         None => return Ok(INTERRUPTED),
         Some(Err(RunError::TooSlow { startup_time })) => {
             warn_too_slow(&RunError::TooSlow { startup_time }.to_string());
@@ -53,7 +53,7 @@
 fn options(arguments: &RunArguments) -> Result<Options, CommandError> {
     let program = match &arguments.program {
         Some(program) => program.clone(),
-        None => program_beside()?,
+        None => sibling_program()?,
     };
     let program = program
         .canonicalize()
@@ -68,21 +68,21 @@
     })
 }
 
-/// The program that was built together with this one.
-fn program_beside() -> Result<PathBuf, CommandError> {
+/// Returns the `woadstall` binary in the directory of this executable.
+fn sibling_program() -> Result<PathBuf, CommandError> {
     let program = std::env::current_exe()?.with_file_name("woadstall");
     if program.is_file() {
         return Ok(program);
     }
     Err(format!(
-        "{}: not there; build it with `cargo build --release`, or name one with `--program`",
+        "{}: file not found; build it with `cargo build --release`, or set its path with `--program`",
         program.display()
     )
     .into())
 }
 
-/// Plays a scenario; `None` where it was interrupted.
-fn play(
+/// Executes a scenario. Returns `None` if SIGTERM or SIGINT interrupted the run.
+fn execute(
     scenario: Scenario,
     options: &Options,
 ) -> Result<Option<Result<ClusterResult, RunError>>, CommandError> {
@@ -90,7 +90,7 @@
     runtime.block_on(async {
         let mut terminated = signal(SignalKind::terminate())?;
         let mut interrupted = signal(SignalKind::interrupt())?;
-        // A run that is dropped here ends all its processes.
+        // Dropping the future of the run kills all its processes.
         tokio::select! {
             result = run_scenario(scenario, options) => Ok(Some(result)),
             _ = terminated.recv() => Ok(None),
@@ -117,7 +117,7 @@
         report::write(plot, &report::page(&[row], &FaultBand::of(scenario))?)?;
     }
     if let Some(logs) = &result.log_directory {
-        info!(folder = %logs.display(), "logs of the processes kept");
+        info!(folder = %logs.display(), "kept the log files of the processes");
     }
     Ok(())
 }
@@ -131,5 +131,5 @@
 }
 
 fn warn_too_slow(reason: &str) {
-    warn!(reason, "too slow, no verdict");
+    warn!(reason, "machine too slow; no verdict");
 }
--- a/crates/cluster-test/src/error.rs
+++ b/crates/cluster-test/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a run.
+//! Errors of a cluster run.
 
 use crate::supported::UnsupportedScenario;
 use std::io;
@@ -6,60 +6,60 @@
 use std::time::Duration;
 use tokio::task::JoinError;
 
-/// Why the fleet could not be started, or a fault not be applied to it.
+/// A failure to start the fleet or to apply a fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// An upstream could not listen.
+    /// The listener of a simulated upstream could not be created.
     #[error("nodo {number}: {source}")]
     StartUpstream {
-        /// Its number among all upstreams.
+        /// Index of the upstream among all upstreams.
         number: u32,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// The sockets or the folder of a balancer could not be made.
+    /// The sockets or the directory of a balancer could not be created.
     #[error("balancer {number}: {source}")]
     PrepareBalancer {
-        /// Its number among all balancers.
+        /// Index of the balancer among all balancers.
         number: u32,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// The sockets of the membership could not be made.
+    /// The sockets of the membership protocol could not be created.
     #[error("members: {0}")]
     PrepareMembership(#[source] io::Error),
-    /// A proxy that breaks a rule on purpose could not listen.
+    /// The listener of a proxy that violates a rule on purpose could not be created.
     #[error(transparent)]
     StartViolationProxy(io::Error),
-    /// The files of a process could not be written, or it could not be spawned.
+    /// The files of a process could not be written, or the process could not be spawned.
     #[error("{process}: {source}")]
     Process {
-        /// Its name.
+        /// Name of the process, as in `balancer-003`.
         process: String,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// A process ended before it served.
+    /// A process exited before it answered its health check.
     #[error("{process} did not start ({status}): {last_log_line}")]
     ExitedAtStart {
-        /// Its name.
+        /// Name of the process, as in `balancer-003`.
         process: String,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// The last line of its log.
+        /// Last line of the process's log.
         last_log_line: String,
     },
-    /// A process runs, but did not serve in time.
-    #[error("{process} does not serve after {} s: {last_log_line}", waited.as_secs())]
+    /// A process did not answer its health check in time.
+    #[error("{process} did not answer its health check within {} s: {last_log_line}", waited.as_secs())]
     NotReady {
-        /// Its name.
+        /// Name of the process, as in `balancer-003`.
         process: String,
-        /// How long it had to come up.
+        /// Time allowed for the process to become ready.
         waited: Duration,
-        /// The last line of its log.
+        /// Last line of the process's log.
         last_log_line: String,
     },
-    /// The request for a process's health could not be built.
+    /// The health check request could not be built.
     #[error(transparent)]
     HealthRequest(#[from] http::Error),
     /// A task panicked or was cancelled.
@@ -67,22 +67,22 @@
     Task(#[from] JoinError),
 }
 
-/// Why a run has no result.
+/// A failure that leaves a run without a result.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The scenario cannot be played with processes.
+    /// The scenario uses a setting, a fault or a size that cluster runs do not support.
     #[error(transparent)]
     Unsupported(#[from] UnsupportedScenario),
-    /// The folder of the run could not be made.
+    /// The directory of the run could not be created.
     #[error(transparent)]
     RunDirectory(io::Error),
     /// The fleet could not be started.
     #[error(transparent)]
     Start(#[from] ClusterError),
-    /// The machine is too slow to start the fleet before callers begin.
-    #[error("it took {:.1} s until all processes served", startup_time.as_secs_f64())]
+    /// The fleet was not ready when callers were due to start.
+    #[error("all processes were ready only after {:.1} s, later than the start of callers", startup_time.as_secs_f64())]
     TooSlow {
-        /// How long it took until all processes served.
+        /// Time until all processes were ready.
         startup_time: Duration,
     },
 }
--- a/crates/cluster-test/src/launch.rs
+++ b/crates/cluster-test/src/launch.rs
@@ -1,4 +1,5 @@
-//! What a child does before it becomes the program: it ties its life to the run's process, and takes on its limits.
+//! Preparation of a child process before it executes the program: the child arranges to be killed together with the
+//! run's process and sets its resource limits.
 
 use nix::sys::prctl;
 use nix::sys::resource::{Resource, setrlimit};
@@ -12,13 +13,14 @@
 /// Resource limits of a process (`setrlimit(2)`).
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
-    /// Descriptors that it may have open (`RLIMIT_NOFILE`).
+    /// Maximum number of open file descriptors (`RLIMIT_NOFILE`).
     pub max_open_files: u64,
-    /// Memory that it may have for data, in MiB (`RLIMIT_DATA`).
+    /// Maximum size of data memory in MiB (`RLIMIT_DATA`).
     pub max_data_mib: u64,
 }
 
-/// Becomes the program, which is killed when its parent dies (`PR_SET_PDEATHSIG`). Returns only on failure.
+/// Replaces this process with `program`. The kernel kills the program when its parent dies (`PR_SET_PDEATHSIG`).
+/// Returns only on failure.
 pub fn launch(parent: i32, limits: ProcessLimits, program: &Path) -> io::Error {
     match prepare(parent, limits) {
         Ok(()) => Command::new(program).exec(),
@@ -29,7 +31,7 @@
 fn prepare(parent: i32, limits: ProcessLimits) -> nix::Result<()> {
     prctl::set_pdeathsig(Signal::SIGKILL)?;
     if getppid() != Pid::from_raw(parent) {
-        return Err(nix::Error::ESRCH); // it died before the signal was set
+        return Err(nix::Error::ESRCH); // the parent died before the death signal was set
     }
     let memory_bytes = limits.max_data_mib << 20;
     setrlimit(
--- a/crates/cluster-test/src/leftovers.rs
+++ b/crates/cluster-test/src/leftovers.rs
@@ -1,5 +1,5 @@
-//! What earlier runs have left behind: a run that was killed cannot remove its folder, nor be sure that its processes
-//! have ended.
+//! Cleanup after earlier runs. A run that was killed cannot remove its directory, and some of its processes may still
+//! be running.
 
 use crate::procfs;
 use crate::run_directory::{FOLDER_PREFIX, LOCK_FILE, PROCESSES_FILE};
@@ -11,35 +11,36 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What an earlier run has left.
+/// Directory and processes that a killed run left behind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leftover {
-    /// Its folder, which has been removed.
+    /// Path of the run's directory, which has been removed.
     pub folder: PathBuf,
-    /// Its processes that still ran, and were killed.
+    /// Processes of the run that were still running and have been killed.
     pub processes: Vec<LeftoverProcess>,
 }
 
-/// A process that had outlived its run.
+/// A process that outlived its run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeftoverProcess {
-    /// Its number.
+    /// Process identifier.
     pub pid: i32,
-    /// Its name in the run.
+    /// Name of the process within its run, as in `balancer-003`.
     pub name: String,
 }
 
-/// Kills and removes what earlier runs have left in a folder for temporary files. A run that still goes on has locked
-/// its folder and is not touched, nor is a process that only has the number of one that was.
+/// Kills leftover processes and removes leftover directories of earlier runs below a directory for temporary files.
+/// Active runs hold a lock on their directory and are skipped. A process that has merely reused the identifier of a
+/// recorded process is not killed: its start time differs.
 ///
 /// # Errors
 ///
-/// Where a folder cannot be read or removed.
-pub fn remove_leftovers(temporary: &Path) -> io::Result<Vec<Leftover>> {
+/// If a directory cannot be read or removed.
+pub fn remove_leftovers(temporary_directory: &Path) -> io::Result<Vec<Leftover>> {
     let mut leftovers = Vec::new();
-    for entry in std::fs::read_dir(temporary)? {
+    for entry in std::fs::read_dir(temporary_directory)? {
         let folder = entry?.path();
-        if !is_run_folder(&folder) {
+        if !is_run_directory(&folder) {
             continue;
         }
         let Ok(file) = File::open(folder.join(LOCK_FILE)) else {
@@ -55,12 +56,12 @@
     Ok(leftovers)
 }
 
-fn is_run_folder(folder: &Path) -> bool {
+fn is_run_directory(folder: &Path) -> bool {
     let name = folder.file_name().and_then(|name| name.to_str());
     name.is_some_and(|name| name.starts_with(FOLDER_PREFIX))
 }
 
-/// Kills the processes of a run that still live, and returns them.
+/// Kills the processes of a run that are still running, and returns them.
 fn kill_processes(folder: &Path) -> Vec<LeftoverProcess> {
     let processes = std::fs::read_to_string(folder.join(PROCESSES_FILE)).unwrap_or_default();
     processes
@@ -72,7 +73,7 @@
         .collect()
 }
 
-/// A line of the file of processes: the process, and its start in clock ticks since boot.
+/// Parses a line of the process file into the process and its start time in clock ticks since boot.
 fn parse_process(line: &str) -> Option<(LeftoverProcess, u64)> {
     let mut fields = line.split_whitespace();
     let pid = fields.next()?.parse().ok()?;
--- a/crates/cluster-test/src/lib.rs
+++ b/crates/cluster-test/src/lib.rs
@@ -1,14 +1,17 @@
-//! Scenarios of the emulator with many processes of the program on this machine, and faults to them and between them.
+//! Runs scenarios of the emulator against a cluster of real load-balancer processes on one machine, and injects faults
+//! into the processes and the links between them.
 //!
-//! Each balancer is a process of the shipped binary. Callers, upstreams and discovery are simulated in this process,
-//! and all reach each other through `woadstall-fault-proxy`. `docs/cluster-test.md` says which designs were
-//! considered, and what this cannot show.
+//! Each balancer is a process of the shipped binary. Callers, upstreams and discovery are simulated inside the test
+//! process. All connections go through `woadstall-fault-proxy`. `docs/cluster-test.md` describes the designs that were
+//! considered and the limits of this test harness.
 //!
-//! - [`run()`] plays a scenario and returns a [`ClusterResult`]; [`results`] prints it and compares it with the emulator's.
-//! - `fleet` owns the upstreams, the balancers and the links between them; `faults` applies the scenario's faults to it.
-//! - `membership` configures and observes the membership among the balancers.
-//! - `run_directory`, `process` and [`launch`] start the processes, so that none outlives its run; `leftovers`
-//!   removes what a killed run could not.
+//! - [`run()`] executes a scenario and returns a [`ClusterResult`]; [`results`] formats the result and compares it with
+//!   the emulator's result.
+//! - `fleet` owns the upstreams, the balancers and the links between them; `faults` applies the scenario's faults to
+//!   the fleet.
+//! - `membership` configures and observes the membership protocol among the balancers.
+//! - `run_directory`, `process` and [`launch`] start the processes and tie their lifetime to the run; `leftovers`
+//!   kills the processes and removes the directories of runs that were killed.
 
 mod balancer;
 mod discovery;
--- a/crates/cluster-test/src/main.rs
+++ b/crates/cluster-test/src/main.rs
@@ -1,8 +1,12 @@
-//! Scenarios with many processes of the program, and faults between them.
+//! Command-line program that runs scenarios against a cluster of load-balancer processes.
 //!
-//! Exit codes: 0 passed; 1 a rule or a bound was broken, a process crashed, or `compare` found the two too far
-//! apart; 2 the command line is wrong; 3 a file, a scenario or a program is; 4 the machine was too slow, so that
-//! there is no verdict; 130 interrupted.
+//! Exit codes:
+//! - 0: the run passed.
+//! - 1: a rule or a bound was violated, a process crashed, or `compare` found a difference above its limit.
+//! - 2: the command line is invalid.
+//! - 3: a file, a scenario or a program is invalid.
+//! - 4: the machine was too slow for a verdict.
+//! - 130: the run was interrupted.
 
 mod arguments;
 mod commands;
@@ -12,7 +16,7 @@
 use std::process::ExitCode;
 use tracing::error;
 
-/// A file, a scenario or a program is wrong.
+/// Exit code for an invalid file, scenario or program.
 const INVALID_INPUT: u8 = 3;
 
 fn main() -> ExitCode {
--- a/crates/cluster-test/src/process.rs
+++ b/crates/cluster-test/src/process.rs
@@ -1,4 +1,4 @@
-//! A balancer's process over all its incarnations: its files, its signals, its log.
+//! A balancer's process over all its incarnations: files, signals and log.
 
 mod own_files;
 
@@ -14,28 +14,28 @@
 use std::sync::Mutex;
 use woadstall_load_test::lock;
 
-/// The operators' file in the folder of a process.
+/// Name of the operators' configuration file in the directory of a process.
 pub const OPERATOR_FILE: &str = "operator.toml";
-/// The file in the folder of a process with the key of the membership.
+/// Name of the file with the membership key in the directory of a process.
 pub const KEY_FILE: &str = "members.key";
-/// The files of the membership, which are inputs of a process as its configuration is.
+/// Membership files, which are inputs of the process like its configuration.
 const MEMBERSHIP_FILES: [&str; 2] = [KEY_FILE, OPERATOR_FILE];
 
-/// A process that may be started several times. It is killed when this is dropped.
+/// A process that may be started several times. Dropping the value kills the process.
 pub struct Process {
-    /// Its name.
+    /// Name of the process, as in `balancer-003`; unique within the run.
     pub name: String,
-    /// Its own folder.
+    /// Directory of the process, below the run directory.
     pub folder: PathBuf,
     child: Mutex<Option<Child>>,
 }
 
 impl Process {
-    /// Makes the folder of a process that is not started yet.
+    /// Creates the directory of a process. The process is not started yet.
     ///
     /// # Errors
     ///
-    /// Where the folder cannot be made.
+    /// If the directory cannot be created.
     pub fn new(run_directory: &RunDirectory, name: String) -> io::Result<Self> {
         let folder = run_directory.path().join(&name);
         std::fs::create_dir(&folder)?;
@@ -46,26 +46,26 @@
         })
     }
 
-    /// The path of its configuration.
+    /// Returns the path of the configuration file.
     pub fn config(&self) -> PathBuf {
         self.folder.join("config.json")
     }
 
-    /// The path of its operators' file, if it has one.
+    /// Returns the path of the operators' file, if the file exists.
     fn operator_config(&self) -> Option<PathBuf> {
         Some(self.folder.join(OPERATOR_FILE)).filter(|path| path.is_file())
     }
 
-    /// The path of its log, which has its standard error.
+    /// Returns the path of the log file, which receives the standard error of the process.
     pub fn log(&self) -> PathBuf {
         self.folder.join("log")
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the process, unless it is running.
     ///
     /// # Errors
     ///
-    /// Where it cannot be spawned.
+    /// If the process cannot be spawned.
     pub async fn start(&self, run_directory: &RunDirectory) -> io::Result<()> {
         if self.pid().is_some() {
             return Ok(());
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Its number, while it runs.
+    /// Returns the process identifier while the process runs.
     pub fn pid(&self) -> Option<i32> {
         let mut child = lock(&self.child);
         let child = child.as_mut()?;
@@ -92,35 +92,35 @@
         runs.then(|| child.id() as i32)
     }
 
-    /// Sends it a signal, if it runs.
+    /// Sends a signal to the process, if it is running.
     pub fn signal(&self, signal: Signal) {
-        // Its number is its own as long as nobody has waited for it, which only this type does.
+        // The kernel cannot reuse the identifier before the process has been waited for, which only this type does.
         if let Some(pid) = self.pid() {
             kill(Pid::from_raw(pid), signal).ok();
         }
     }
 
-    /// Kills it and waits until it has ended.
+    /// Kills the process and waits for its exit.
     pub fn kill(&self) -> Option<ExitStatus> {
         let mut child = lock(&self.child).take()?;
         child.kill().ok();
         child.wait().ok()
     }
 
-    /// How it ended, if it has ended by itself.
+    /// Returns the exit status if the process has exited without being killed by [`Process::kill`].
     pub fn exit_status(&self) -> Option<ExitStatus> {
         lock(&self.child)
             .as_mut()
             .and_then(|child| child.try_wait().ok().flatten())
     }
 
-    /// The last line of its log.
+    /// Returns the last line of the log, or a note that the log is empty.
     pub fn last_log_line(&self) -> String {
         let log = std::fs::read_to_string(self.log()).unwrap_or_default();
-        log.lines().last().unwrap_or("it said nothing").to_owned()
+        log.lines().last().unwrap_or("its log is empty").to_owned()
     }
 
-    /// Counts the lines of its log behind an offset in bytes by their first word, and advances the offset.
+    /// Counts the log lines after a byte offset by their first word, and advances the offset.
     pub fn count_log_lines(&self, offset: &mut u64) -> BTreeMap<String, u64> {
         let mut counts = BTreeMap::new();
         let Ok(mut log) = File::open(self.log()) else {
@@ -130,7 +130,7 @@
         let read = log
             .seek(SeekFrom::Start(*offset))
             .and_then(|_| log.read_to_string(&mut text));
-        // An incomplete last line is read with the next call.
+        // An incomplete last line is left for the next call.
         let complete = read
             .ok()
             .and_then(|_| text.rfind('\n'))
@@ -144,17 +144,18 @@
         counts
     }
 
-    /// How long it was ready to run and had no core, in nanoseconds, where the system tells.
+    /// Returns the time that the process was ready to run but waited for a core, in nanoseconds. Returns `None` if the
+    /// process is not running or the system does not report the time.
     pub fn run_queue_wait_ns(&self) -> Option<u64> {
         procfs::run_queue_wait_ns(self.pid()?)
     }
 
-    /// How long a thread of it has run, in nanoseconds, by the thread's name.
+    /// Returns the CPU time of the thread of this name, in nanoseconds.
     pub fn thread_run_ns(&self, thread: &str) -> Option<u64> {
         procfs::thread_run_ns(self.pid()?, thread)
     }
 
-    /// The most memory that it has had resident, in kB.
+    /// Returns the peak resident memory, in kB.
     pub fn peak_memory_kb(&self) -> Option<u64> {
         procfs::peak_memory_kb(self.pid()?)
     }
--- a/crates/cluster-test/src/process/own_files.rs
+++ b/crates/cluster-test/src/process/own_files.rs
@@ -1,4 +1,4 @@
-//! The files that a process has written itself, and faults to them.
+//! Files written by a process, and faults that damage them.
 
 use super::{MEMBERSHIP_FILES, Process};
 use std::io;
@@ -6,7 +6,7 @@
 use woadstall_emulator::StoredFiles;
 
 impl Process {
-    /// All in its folder but its inputs and its log.
+    /// Returns all files in the directory of the process except its inputs and its log.
     fn own_files(&self) -> io::Result<Vec<PathBuf>> {
         let entries = std::fs::read_dir(&self.folder)?.map(|entry| Ok(entry?.path()));
         let entries = entries.collect::<io::Result<Vec<PathBuf>>>()?;
@@ -17,13 +17,14 @@
         Ok(entries.into_iter().filter(is_own).collect())
     }
 
-    /// Damages the files that the next process finds. A socket is treated as a file: what replaces it has its name.
+    /// Damages the files that the next incarnation of the process finds. Files of another balancer are taken from
+    /// `donor`. Sockets are treated like files: a regular file or a link of the same name replaces the socket.
     ///
     /// # Errors
     ///
-    /// Where a file cannot be listed, removed or written.
-    pub fn damage_files(&self, damage: StoredFiles, stranger: &Self) -> io::Result<()> {
-        let mut foreign_files = stranger.own_files()?.into_iter();
+    /// If a file cannot be listed, removed or written.
+    pub fn damage_files(&self, damage: StoredFiles, donor: &Self) -> io::Result<()> {
+        let mut donor_files = donor.own_files()?.into_iter();
         for path in self.own_files()? {
             let content = std::fs::read(&path).unwrap_or_default();
             match damage {
@@ -32,10 +33,10 @@
                 StoredFiles::Lost => std::fs::remove_file(&path)?,
                 StoredFiles::Torn => replace(&path, &content[..content.len() / 2])?,
                 StoredFiles::Empty => replace(&path, b"")?,
-                StoredFiles::OtherBalancer => match foreign_files.next() {
-                    Some(foreign) => {
+                StoredFiles::OtherBalancer => match donor_files.next() {
+                    Some(donor_file) => {
                         std::fs::remove_file(&path)?;
-                        std::os::unix::fs::symlink(foreign, &path)?;
+                        std::os::unix::fs::symlink(donor_file, &path)?;
                     }
                     None => replace(&path, b"")?,
                 },
--- a/crates/cluster-test/src/procfs.rs
+++ b/crates/cluster-test/src/procfs.rs
@@ -1,15 +1,16 @@
-//! What `/proc` tells of processes (`proc(5)`). All functions return `None` where the process is gone or the system
-//! does not tell.
+//! Process statistics from `/proc` (`proc(5)`). All functions return `None` if the process no longer exists or the
+//! system does not provide the value.
 
 use std::fs::read_to_string;
 
-/// The field of `/proc/PID/stat` with the start time, counted behind the name.
+/// Index of the start time among the fields of `/proc/PID/stat` that follow the process name.
 const START_TIME_FIELD: usize = 19;
 
-/// When a process started, in clock ticks since boot: tells it from a later one of the same number.
+/// Returns the start time of a process in clock ticks since boot. The start time distinguishes the process from a later
+/// process with the same identifier.
 pub fn start_ticks(pid: i32) -> Option<u64> {
     let stat = read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name stands in parentheses and may contain anything.
+    // The process name is enclosed in parentheses and may contain any character, including parentheses.
     let (_, fields) = stat.rsplit_once(')')?;
     fields
         .split_whitespace()
@@ -18,13 +19,13 @@
         .ok()
 }
 
-/// How long a process was ready to run and had no core, in nanoseconds.
+/// Returns the time that a process was ready to run but waited for a core, in nanoseconds.
 pub fn run_queue_wait_ns(pid: i32) -> Option<u64> {
     let stat = read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
     stat.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// How long the thread of this name has run, in nanoseconds.
+/// Returns the CPU time of the thread of this name, in nanoseconds.
 pub fn thread_run_ns(pid: i32, thread: &str) -> Option<u64> {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).ok()?;
     let mut tasks = tasks.filter_map(|task| Some(task.ok()?.path()));
@@ -35,7 +36,7 @@
     stat.split_whitespace().next()?.parse().ok()
 }
 
-/// The most memory that a process has had resident, in kB.
+/// Returns the peak resident memory of a process, in kB.
 pub fn peak_memory_kb(pid: i32) -> Option<u64> {
     let status = read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status
--- a/crates/cluster-test/src/results.rs
+++ b/crates/cluster-test/src/results.rs
@@ -1,4 +1,4 @@
-//! The result of a run: what it showed, its forms as JSON and as text, and how it compares with the emulator's.
+//! Results of a run, their JSON form and text form, and their comparison with the emulator's results.
 
 mod compare;
 mod json;
@@ -15,82 +15,88 @@
 use woadstall_fault_proxy::TrafficCounts;
 use woadstall_load_test::UpstreamCounts;
 
-/// The machine is too slow where more than these shares are late or starved.
-const MAX_DELAYED_CALLS: f64 = 0.01;
-const MAX_DELAYED_TIMERS: f64 = 0.02;
-const MAX_STARVED: f64 = 0.25;
+/// Largest share of calls that may start late. Above it, the machine is too slow for a verdict.
+const MAX_LATE_CALL_SHARE: f64 = 0.01;
+/// Largest share of this process's timers that may fire late. Above it, the machine is too slow for a verdict.
+const MAX_LATE_TIMER_SHARE: f64 = 0.02;
+/// Largest share of its time that a balancer may wait for a core. Above it, the machine is too slow for a verdict.
+const MAX_CORE_WAIT_SHARE: f64 = 0.25;
 
-/// All that a run showed.
+/// Results and measurements of a run.
 #[derive(Debug)]
 pub struct ClusterResult {
-    /// The result in the emulator's form.
+    /// Results in the emulator's form.
     pub run_result: RunResult,
-    /// How late callers began their calls.
+    /// Delays of the callers' requests relative to their scheduled times.
     pub lag: Lag,
-    /// The share of this process's own timers that were late.
+    /// Share of this process's timers that fired late, from 0 to 1.
     pub late_timer_share: f64,
-    /// The largest share of its time that a balancer was ready to run and had no core.
+    /// Share of the run that a balancer was ready to run but waited for a core; the largest share of all balancers.
     pub max_core_wait_share: f64,
-    /// How long it took until all processes served.
+    /// Time until all processes were ready.
     pub startup_time: Duration,
-    /// How many balancers there were.
+    /// Number of balancers in the scenario.
     pub balancer_count: u32,
-    /// How often balancers were started, all together.
+    /// Number of process starts of all balancers, restarts included.
     pub process_starts: u32,
-    /// Processes that ended by themselves with the last lines of their logs, and faults that could not be applied.
+    /// Crashed processes with the last lines of their logs, and faults that could not be applied.
     pub failures: Vec<String>,
-    /// The most memory of each balancer, in kB.
+    /// Peak resident memory of each balancer, in kB.
     pub peak_memory_kb: Vec<u64>,
-    /// Requests that never had a response.
+    /// Number of requests that never received a response.
     pub unanswered_requests: u64,
-    /// Requests whose work ran more than once.
+    /// Number of requests whose work was executed more than once.
     pub requests_executed_twice: u64,
-    /// Requests without a response in time since their balancer's process was suspended.
+    /// Number of requests without a timely response because their balancer's process was suspended.
     pub overdue_requests_at_suspended: u64,
-    /// How often agents were read.
+    /// Number of reads received by the discovery agents.
     pub list_reads: u64,
-    /// What went through the fault proxy.
+    /// Traffic through the fault proxy.
     pub traffic: TrafficCounts,
-    /// What each upstream saw.
+    /// Counters of each upstream.
     pub upstreams: Vec<UpstreamCounts>,
-    /// The share of a core that each balancer's membership used, where there is one.
+    /// Share of a core used by the membership thread of each running balancer; empty without membership.
     pub membership_cores: Vec<f64>,
-    /// The folder with the processes' logs, where it was kept.
+    /// Directory with the logs of the processes; `None` if it was removed.
     pub log_directory: Option<PathBuf>,
 }
 
 impl ClusterResult {
-    /// Whether no rule and no bound was broken, and no process ended by itself.
+    /// Whether no rule and no bound was violated, no process crashed, and every fault was applied.
     pub fn is_passed(&self) -> bool {
         self.run_result.is_satisfied() && self.failures.is_empty()
     }
 
-    /// Why the machine was too slow for the figures to mean anything, if it was.
+    /// Returns the reason if the machine was too slow for meaningful figures.
     pub fn too_slow(&self) -> Option<String> {
-        let delayed_calls = self.lag.late as f64 / self.lag.calls.max(1) as f64;
+        let late_call_share = self.lag.late as f64 / self.lag.calls.max(1) as f64;
         let shares = [
-            (delayed_calls, MAX_DELAYED_CALLS, "of the calls began late"),
+            (
+                late_call_share,
+                MAX_LATE_CALL_SHARE,
+                "of the calls started late",
+            ),
             (
                 self.late_timer_share,
-                MAX_DELAYED_TIMERS,
-                "of the rig's own timers were late",
+                MAX_LATE_TIMER_SHARE,
+                "of the test harness's timers fired late",
             ),
             (
                 self.max_core_wait_share,
-                MAX_STARVED,
-                "of its time a balancer had no core",
+                MAX_CORE_WAIT_SHARE,
+                "of the time of a balancer was spent waiting for a core",
             ),
         ];
-        let (share, max, what) = shares.into_iter().find(|(share, max, _)| share > max)?;
+        let (share, max, description) = shares.into_iter().find(|(share, max, _)| share > max)?;
         Some(format!(
-            "{:.1}% {what}, {:.0}% at most",
+            "{:.1}% {description}; the limit is {:.0}%",
             100.0 * share,
             100.0 * max
         ))
     }
 }
 
-/// The arithmetic mean, rounded down; 0 of none.
+/// Returns the arithmetic mean, rounded down; 0 for an empty slice.
 fn mean(values: &[u64]) -> u64 {
     values.iter().sum::<u64>() / (values.len() as u64).max(1)
 }
--- a/crates/cluster-test/src/results/compare.rs
+++ b/crates/cluster-test/src/results/compare.rs
@@ -1,80 +1,80 @@
-//! The comparison of a run with the emulator's run of the same scenario, step by step.
+//! Step-by-step comparison of a cluster run with the emulator's run of the same scenario.
 
 use woadstall_emulator::Counts;
 use woadstall_emulator_cli::rows::Row;
 
-/// A figure of both runs.
+/// The values of one figure in both runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FigurePair {
-    /// The emulator's.
+    /// Value in the emulator's run.
     pub emulator: f64,
-    /// That of the run with processes.
+    /// Value in the cluster run.
     pub processes: f64,
 }
 
 impl FigurePair {
-    /// By how much the two differ.
+    /// Returns the absolute difference of both values.
     fn distance(&self) -> f64 {
         (self.emulator - self.processes).abs()
     }
 }
 
-/// A step of both timelines.
+/// Served shares of both runs in one timeline step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StepShares {
     /// The end of the step, in seconds.
     pub until_s: f64,
-    /// The share of the value offered in it that was served.
+    /// Share of the value offered in the step that was served, from 0 to 1.
     pub served: FigurePair,
 }
 
-/// The step with the largest distance.
+/// The timeline step with the largest difference between the runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorstStep {
     /// The end of the step, in seconds.
     pub until_s: f64,
-    /// The distance of the shares served in it.
+    /// Absolute difference of the shares served in the step.
     pub distance: f64,
 }
 
-/// Two runs of one scenario side by side.
+/// Comparison of two runs of one scenario.
 #[derive(Debug)]
 pub struct Comparison {
-    /// All steps of the timeline.
+    /// Steps that both timelines contain, in order.
     pub steps: Vec<StepShares>,
-    /// The mean distance of the shares served in a step.
+    /// Mean over all steps of the absolute difference of the served shares.
     pub mean_distance: f64,
-    /// The step in which the two are furthest apart.
+    /// Step with the largest difference of the served shares.
     pub worst_step: WorstStep,
-    /// The share of the value that was served in all.
+    /// Share of the offered value that was served over the whole run, from 0 to 1.
     pub served: FigurePair,
-    /// The share of the calls that were rejected in the end.
+    /// Share of the offered calls that were finally rejected, from 0 to 1.
     pub rejected: FigurePair,
 }
 
-/// Why two rows cannot be compared.
+/// A reason why two result rows cannot be compared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CompareError {
-    /// They are of different scenarios, or of different versions of one.
-    #[error("not of one scenario: {emulator} and {processes}")]
+    /// The rows belong to different scenarios or to different versions of a scenario.
+    #[error("rows of different scenarios or scenario versions: {emulator} and {processes}")]
     DifferentScenarios {
-        /// The emulator's scenario.
+        /// Scenario name of the emulator's row.
         emulator: String,
-        /// That of the run with processes.
+        /// Scenario name of the cluster run's row.
         processes: String,
     },
-    /// One of them has no timeline.
+    /// At least one of the rows has no timeline.
     #[error(
-        "no timeline: write rows with `woadstall-emulator-cli run --json` and `woadstall-cluster-test run --out`"
+        "row without a timeline; write rows with `woadstall-emulator-cli run --json` and `woadstall-cluster-test run --out`"
     )]
     NoTimeline,
 }
 
-/// Compares two rows that have a timeline.
+/// Compares the emulator's row with the cluster run's row.
 ///
 /// # Errors
 ///
-/// Where the rows are not of one scenario, or one has no timeline.
+/// If the rows belong to different scenarios, or a row has no timeline.
 pub fn compare(emulator: &Row, processes: &Row) -> Result<Comparison, CompareError> {
     let scenario = |row: &Row| (row.key.scenario.clone(), row.key.digest.clone());
     if scenario(emulator) != scenario(processes) {
@@ -112,7 +112,7 @@
     })
 }
 
-/// The last of the steps with the largest distance.
+/// Returns the step with the largest difference; the last one if several steps have the same difference.
 fn worst_step(steps: &[StepShares]) -> WorstStep {
     let steps = steps.iter().map(|step| WorstStep {
         until_s: step.until_s,
--- a/crates/cluster-test/src/results/json.rs
+++ b/crates/cluster-test/src/results/json.rs
@@ -1,10 +1,10 @@
-//! The result as JSON, for programs.
+//! JSON form of the result.
 
 use super::{ClusterResult, mean};
 use serde_json::{Value, json};
 use woadstall_emulator_cli::rows::Row;
 
-/// The whole result. `row` has the timeline in the emulator's form.
+/// Converts the complete result to JSON. `row` supplies the scenario, the digest, the seed and the commit.
 pub fn json(result: &ClusterResult, row: &Row) -> Value {
     let ClusterResult {
         run_result,
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -1,4 +1,4 @@
-//! The result as text, for people.
+//! Human-readable text form of the result.
 
 use super::{ClusterResult, mean};
 use std::fmt::{self, Write};
@@ -6,10 +6,10 @@
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::Row;
 
-/// The result in short. `row` has the timeline in the emulator's form.
+/// Formats a summary of the result. `row` supplies the scenario, the seed and the overridden settings.
 pub fn text(result: &ClusterResult, row: &Row) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = write_result(&mut text, result, row);
     text
 }
@@ -113,14 +113,14 @@
         100.0 * mean_cores,
         100.0 * max_cores
     )?;
-    for story in &members.false_death_details {
-        writeln!(out, "    {story}")?;
+    for detail in &members.false_death_details {
+        writeln!(out, "    {detail}")?;
     }
     Ok(())
 }
 
 fn write_evacuations(out: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
-    let moved: Vec<String> = evacuated
+    let diverted_zones: Vec<String> = evacuated
         .diverted_share_seconds
         .iter()
         .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
@@ -129,6 +129,6 @@
         out,
         "  left           {} moves; seconds without, a balancer: {}",
         evacuated.share_changes,
-        moved.join(", ")
+        diverted_zones.join(", ")
     )
 }
--- a/crates/cluster-test/src/rule_violation.rs
+++ b/crates/cluster-test/src/rule_violation.rs
@@ -1,4 +1,4 @@
-//! Rules that are broken on purpose, to show whether the verdict finds it.
+//! Injected rule violations, which show that the verdict detects them.
 
 use bytes::Bytes;
 use clap::ValueEnum;
@@ -16,40 +16,48 @@
 use tokio::task::JoinSet;
 use woadstall_mock_servers::simulated_upstream::serve_process;
 
-/// One request in so many is dropped.
+/// Interval, in requests, at which [`RuleViolation::DropRequests`] drops a request.
 const DROP_INTERVAL: u64 = 20;
-/// So many duplicates of a request are sent.
+/// Number of duplicates that [`RuleViolation::FloodSafe`] sends of each safe request.
 const FLOOD_DUPLICATES: usize = 100;
 
-/// Which rule is broken, and how. The first paragraphs are the help of the command line.
+/// A rule violation to inject. The command line shows the first paragraph of a variant's documentation as help text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum RuleViolation {
     /// Something before the balancers takes requests and never answers: rule 1.
+    ///
+    /// A proxy in front of the balancers leaves every 20th request without a response.
     #[value(name = "swallow")]
     DropRequests,
     /// Something before the nodos sends unsafe work twice: rule 2.
+    ///
+    /// Proxies in front of the upstreams send each unsafe request twice.
     #[value(name = "repeat")]
     RepeatUnsafe,
     /// The agents of half of the balancers tell nothing new, and count as having told: rule 3.
+    ///
+    /// Half of the discovery agents receive no new endpoint lists, although their balancers count as notified.
     #[value(name = "deaf")]
     StaleLists,
     /// Something before the nodos sends safe work a hundred times: rule 4, where nodos are cold.
+    ///
+    /// Proxies in front of the upstreams send 100 duplicates of each safe request.
     #[value(name = "flood")]
     FloodSafe,
 }
 
 impl RuleViolation {
-    /// Whether a proxy between callers and balancers does it.
-    pub fn is_before_balancers(self) -> bool {
+    /// Whether a proxy between callers and balancers causes the violation.
+    pub fn is_in_front_of_balancers(self) -> bool {
         self == Self::DropRequests
     }
 
-    /// Whether a proxy between balancers and upstreams does it.
-    pub fn is_before_upstreams(self) -> bool {
+    /// Whether a proxy between balancers and upstreams causes the violation.
+    pub fn is_in_front_of_upstreams(self) -> bool {
         matches!(self, Self::RepeatUnsafe | Self::FloodSafe)
     }
 
-    /// How many duplicates of a request are sent ahead of it.
+    /// Returns the number of duplicates to send ahead of a request with this method.
     fn duplicates(self, method: &Method) -> usize {
         let is_safe = method == Method::GET;
         match self {
@@ -60,9 +68,9 @@
     }
 }
 
-/// A proxy that breaks a rule. It ends when this is dropped.
+/// A proxy that violates a rule. Dropping the value stops the proxy.
 pub struct ViolatingProxy {
-    /// Where it listens.
+    /// Listen address of the proxy.
     pub address: SocketAddr,
     _tasks: JoinSet<()>,
 }
@@ -70,11 +78,11 @@
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 impl ViolatingProxy {
-    /// Starts one before a target.
+    /// Starts a proxy in front of `target`.
     ///
     /// # Errors
     ///
-    /// Where it cannot listen.
+    /// If the listener cannot be created.
     pub async fn start(violation: RuleViolation, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -100,9 +108,9 @@
     }
 }
 
-/// The target gave no response.
+/// The target did not return a response.
 #[derive(Debug, thiserror::Error)]
-#[error("no answer to pass on")]
+#[error("target returned no response")]
 struct NoResponse;
 
 async fn forward(
@@ -133,7 +141,7 @@
     Some(Response::from_parts(head, Full::new(body)))
 }
 
-/// Removes what concerns one connection alone (RFC 9110, 7.6.1).
+/// Removes the hop-by-hop headers (RFC 9110, section 7.6.1).
 fn remove_hop_by_hop(headers: &mut HeaderMap) {
     headers.remove(CONNECTION);
     headers.remove(TRANSFER_ENCODING);
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: the fleet comes up, callers call, faults happen, all processes end.
+//! A complete run: starts the fleet, runs callers and faults, collects the results, and ends all processes.
 
 mod observer;
 
@@ -21,32 +21,33 @@
 use woadstall_load_test::rule_checker::RuleChecker;
 use woadstall_load_test::schedule;
 
-/// The limits of a process: what its configuration lets it use, and what the program needs beside that for its own
-/// descriptors, code and stack.
+/// Resource limits of a process: the limits in its configuration, plus a margin of 64 descriptors and 64 MiB for the
+/// program's own descriptors, code and stack.
 const PROCESS_LIMITS: ProcessLimits = ProcessLimits {
     max_open_files: 4_096 + 64,
     max_data_mib: 512 + 64,
 };
 
-/// What a run is played with.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program that is started for each balancer.
+    /// Path of the program to start for each balancer.
     pub program: PathBuf,
-    /// This crate's own program, which becomes it.
+    /// Path of this crate's binary, which sets the resource limits and then executes `program`.
     pub launcher: PathBuf,
-    /// The source of all random numbers.
+    /// Seed of all random number generators of the run.
     pub seed: u64,
-    /// What is broken on purpose.
+    /// The rule to violate on purpose, if any.
     pub rule_violation: Option<RuleViolation>,
-    /// Keep the folder with the processes' logs also where all went well.
+    /// Whether to keep the directory with the logs of the processes after a passed run. After a failed run it is always
+    /// kept.
     pub keep_logs: bool,
-    /// Show the progress on standard error.
+    /// Whether to show progress on standard error.
     pub show_progress: bool,
 }
 
-/// How long the fleet may take to come up.
-fn start_up_time(scenario: &Scenario) -> Duration {
+/// Returns the time allowed for the start of the fleet. It grows with the numbers of balancers and upstreams.
+fn startup_allowance(scenario: &Scenario) -> Duration {
     const BASE_MS: u64 = 500;
     const PER_BALANCER_MS: u64 = 30;
     const PER_UPSTREAM_MS: u64 = 5;
@@ -56,18 +57,18 @@
     Duration::from_millis(millis).min(MAX)
 }
 
-/// Plays a scenario. All processes have ended when this returns, and also when it is dropped.
+/// Executes a scenario. All processes have ended when the future completes or is dropped.
 ///
 /// # Errors
 ///
-/// Where the scenario cannot be played with processes, the fleet does not come up, or does so too late.
+/// If the scenario is not supported, or the fleet does not start or starts too late.
 pub async fn run(scenario: Scenario, options: &Options) -> Result<ClusterResult, RunError> {
     check_supported(&scenario)?;
     let scenario = Arc::new(scenario);
     let run_directory = RunDirectory::new(&options.launcher, &options.program, PROCESS_LIMITS);
     let run_directory = Arc::new(run_directory.map_err(RunError::RunDirectory)?);
     let began = Instant::now();
-    let start = began + start_up_time(&scenario);
+    let start = began + startup_allowance(&scenario);
     let rules = Arc::new(RuleChecker::new(start));
     let settings = FleetSettings {
         scenario: scenario.clone(),
@@ -98,19 +99,19 @@
     Ok(result)
 }
 
-/// What the processes used of the machine, while they still run.
+/// Resource usage of the processes, measured before they are stopped.
 struct ProcessUsage {
-    /// The largest share of its time that a balancer was ready to run and had no core.
+    /// Share of the run that a balancer was ready to run but waited for a core; the largest share of all balancers.
     max_core_wait_share: f64,
-    /// The share of a core that the membership used, for each balancer.
+    /// Share of a core used by the membership thread of each running balancer.
     membership_cores: Vec<f64>,
 }
 
-/// Has callers call and faults happen until the scenario's time is over.
+/// Runs callers, faults and measurements until the end of the scenario.
 async fn play(observer: &Arc<Observer>) -> ProcessUsage {
     let (fleet, callers) = (&observer.fleet, &observer.callers);
     let start = fleet.schedule.start;
-    // Aborted with this future, however it ends.
+    // Dropping the `JoinSet` aborts the tasks on every exit path.
     let mut tasks = JoinSet::new();
     tasks.spawn(observer.clone().run_faults());
     tasks.spawn(membership_poll::poll(fleet.clone()));
@@ -176,7 +177,7 @@
     }
 }
 
-/// The result in the emulator's form.
+/// Collects the results in the emulator's form.
 fn collect_run_result(observer: &Observer) -> RunResult {
     let Observer { fleet, callers, .. } = observer;
     let mut run_result = callers.end();
@@ -186,9 +187,9 @@
         step.log_lines_by_topic = sample.log_lines;
     }
     if let Some(membership) = &fleet.membership {
-        run_result.members = Some(membership.members_end());
+        run_result.members = Some(membership.membership_report());
         let evacuates = fleet.scenario.evacuation.is_some();
-        run_result.evacuation = evacuates.then(|| membership.evacuations_end());
+        run_result.evacuation = evacuates.then(|| membership.evacuation_report());
     }
     run_result.bounds = fleet.scenario.evaluate(&run_result);
     run_result
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -1,4 +1,4 @@
-//! What is sampled while a run goes on: upstreams, processes, logs, and the machine's own timers.
+//! Sampling during a run: upstreams, processes, logs, and the timers of the test process.
 
 use crate::fleet::{Fleet, RunningCounts};
 use std::collections::BTreeMap;
@@ -8,18 +8,18 @@
 use woadstall_load_test::callers::Callers;
 use woadstall_load_test::lock;
 
-/// Often enough to see a queue, seldom enough to cost nothing.
+/// Interval of samples of upstream queues: short enough to observe queues, long enough for negligible overhead.
 const QUEUE_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// The period of the timer that shows whether the machine has too much to do.
+/// Period of the timer that detects an overloaded machine.
 const TIMER_PERIOD: Duration = Duration::from_millis(10);
-/// The timer is late by more than this where the machine has too much to do.
+/// Delay above which a tick counts as late. Ticks are later than this on an overloaded machine.
 const TIMER_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The processes at the end of a step of the timeline.
+/// State of the processes at the end of a timeline step.
 pub struct StepSample {
-    /// How many run.
+    /// Numbers of running processes.
     pub running: RunningCounts,
-    /// Lines of their logs in this step, by the first word.
+    /// Number of log lines written during the step, by the first word of the line.
     pub log_lines: BTreeMap<String, u64>,
 }
 
@@ -29,39 +29,37 @@
     late: u64,
 }
 
-/// Observes a run.
+/// Collects samples and failures during a run.
 pub struct Observer {
-    /// The fleet of the run.
     pub fleet: Arc<Fleet>,
-    /// The callers of the run.
     pub callers: Arc<Callers>,
-    progress: bool,
+    show_progress: bool,
     samples: Mutex<Vec<StepSample>>,
     failures: Mutex<Vec<String>>,
     timer: Mutex<TimerCounts>,
 }
 
 impl Observer {
-    /// An observer that has seen nothing yet. With `progress` it shows each step on standard error.
-    pub fn new(fleet: Arc<Fleet>, callers: Arc<Callers>, progress: bool) -> Self {
+    /// Creates an observer without samples. With `show_progress`, it prints each step to standard error.
+    pub fn new(fleet: Arc<Fleet>, callers: Arc<Callers>, show_progress: bool) -> Self {
         Self {
             fleet,
             callers,
-            progress,
+            show_progress,
             samples: Mutex::default(),
             failures: Mutex::default(),
             timer: Mutex::default(),
         }
     }
 
-    /// Runs the scenario's faults, and records why they failed if they did.
+    /// Runs the scenario's faults and records an error as a failure.
     pub async fn run_faults(self: Arc<Self>) {
         if let Err(error) = self.fleet.clone().run_faults().await {
             lock(&self.failures).push(error.to_string());
         }
     }
 
-    /// Samples the fleet, step by step, and records processes that ended by themselves.
+    /// Samples the fleet at each timeline step, and records crashed processes.
     pub async fn sample_steps(self: Arc<Self>) {
         let start = self.fleet.schedule.start;
         let step = Duration::from_nanos(self.fleet.scenario.step.0);
@@ -87,7 +85,7 @@
         let mut log_lines = BTreeMap::new();
         for (balancer, offset) in self.fleet.balancers.iter().zip(log_offsets) {
             balancer.record_memory();
-            lock(&self.failures).extend(balancer.crash());
+            lock(&self.failures).extend(balancer.crash_report());
             for (topic, count) in balancer.process.count_log_lines(offset) {
                 *log_lines.entry(topic).or_default() += count;
             }
@@ -95,12 +93,12 @@
         self.callers
             .end_step(&tier_speeds, &attempts, longest_queue);
         lock(&self.samples).push(StepSample { running, log_lines });
-        if self.progress {
-            self.show_progress(running);
+        if self.show_progress {
+            self.print_progress(running);
         }
     }
 
-    fn show_progress(&self, running: RunningCounts) {
+    fn print_progress(&self, running: RunningCounts) {
         let seconds = self.fleet.schedule.start.elapsed().as_secs();
         let length = self.fleet.scenario.duration.seconds();
         let (balancers, upstreams) = (self.fleet.balancers.len(), self.fleet.upstreams.len());
@@ -110,7 +108,7 @@
         );
     }
 
-    /// Runs a timer, and counts how often it was late.
+    /// Runs a periodic timer and counts late ticks.
     pub async fn sample_timer(self: Arc<Self>) {
         let start = self.fleet.schedule.start;
         sleep(start.saturating_duration_since(Instant::now())).await;
@@ -123,18 +121,18 @@
         }
     }
 
-    /// The share of the timer's ticks that were late.
+    /// Returns the share of timer ticks that were late, from 0 to 1.
     pub fn late_timer_share(&self) -> f64 {
         let timer = lock(&self.timer);
         timer.late as f64 / timer.ticks.max(1) as f64
     }
 
-    /// The samples of all steps so far; none is left.
+    /// Removes and returns the samples of all steps so far.
     pub fn take_samples(&self) -> Vec<StepSample> {
         std::mem::take(&mut *lock(&self.samples))
     }
 
-    /// Processes that ended by themselves, and faults that failed, each once; none is left.
+    /// Removes and returns the descriptions of crashed processes and failed faults, sorted and without duplicates.
     pub fn take_failures(&self) -> Vec<String> {
         let mut failures = std::mem::take(&mut *lock(&self.failures));
         failures.sort();
--- a/crates/cluster-test/src/run_directory.rs
+++ b/crates/cluster-test/src/run_directory.rs
@@ -1,5 +1,5 @@
-//! The folder of a run, and how its processes are spawned: all of them end with it, and a later run finds in the
-//! folder what a killed one has left.
+//! The directory of a run, which also spawns the processes of the run. All processes end when the directory is dropped.
+//! The directory records the processes, so that a later run can kill the leftover processes of a killed run.
 
 use crate::launch::ProcessLimits;
 use crate::procfs;
@@ -15,18 +15,19 @@
 use tokio::sync::oneshot;
 use woadstall_load_test::lock;
 
-/// How the names of the folders begin.
+/// Prefix of the names of run directories.
 pub const FOLDER_PREFIX: &str = "woadstall-rig-";
-/// The file that a run has locked as long as it lives.
+/// Name of the file that a run keeps locked until it ends.
 pub const LOCK_FILE: &str = "lock";
-/// One line a process: its number, its start in clock ticks since boot, its name.
+/// Name of the process file. Each line has the process identifier, the start time in clock ticks since boot, and the
+/// name of a process.
 pub const PROCESSES_FILE: &str = "processes";
 
-/// The folder of a run. All processes that were spawned from it end when it is dropped.
+/// The directory of a run. Dropping it ends all processes that were spawned from it.
 pub struct RunDirectory {
-    // Dropped first: its thread has to end before the lock is released.
+    // Fields are dropped in order: the spawner's thread has to end before the lock is released.
     spawner: Spawner,
-    /// Taken over by nobody but a later run that finds it free.
+    /// Held until the end of the run. A later run that can acquire the lock knows that this run has ended.
     _lock: Flock<File>,
     processes: Mutex<File>,
     launcher: PathBuf,
@@ -36,26 +37,27 @@
     folder: Mutex<TempDir>,
 }
 
-/// What one process is spawned with.
+/// Parameters for spawning a process.
 pub struct SpawnRequest<'a> {
-    /// Its name.
+    /// Name of the process in the process file.
     pub name: &'a str,
-    /// Its working folder, for temporary files as well.
+    /// Working directory, also used for temporary files.
     pub folder: &'a Path,
-    /// Where its standard error is appended.
+    /// Path of the file that standard error is appended to.
     pub log: &'a Path,
-    /// Its configuration.
+    /// Path of the configuration file.
     pub config: &'a Path,
-    /// Its operators' file, if it has one.
+    /// Path of the operators' file, if the process has one.
     pub operator_config: Option<&'a Path>,
 }
 
 impl RunDirectory {
-    /// Makes and locks the folder of a new run. `launcher` is this crate's own program, which becomes `program`.
+    /// Creates and locks the directory of a new run. `launcher` is this crate's binary, which sets `limits` and then
+    /// executes `program`.
     ///
     /// # Errors
     ///
-    /// Where the folder, its files or the thread cannot be made.
+    /// If the directory, its files or the spawner thread cannot be created.
     pub fn new(launcher: &Path, program: &Path, limits: ProcessLimits) -> io::Result<Self> {
         let folder = tempfile::Builder::new().prefix(FOLDER_PREFIX).tempdir()?;
         let file = File::create(folder.path().join(LOCK_FILE))?;
@@ -74,21 +76,21 @@
         })
     }
 
-    /// Its path.
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Does not remove the folder when the run is over, so that its logs can be read.
+    /// Keeps the directory with its logs after the end of the run.
     pub fn preserve(&self) {
         lock(&self.folder).disable_cleanup(true);
     }
 
-    /// Spawns a process, and notes it for later runs.
+    /// Spawns a process and records it in the process file.
     ///
     /// # Errors
     ///
-    /// Where the log cannot be opened, the process not be spawned, or the note not be written.
+    /// If the log cannot be opened, the process cannot be spawned, or the record cannot be written.
     pub async fn spawn(&self, request: SpawnRequest<'_>) -> io::Result<Child> {
         let log = OpenOptions::new()
             .create(true)
@@ -106,7 +108,7 @@
             .env("TMPDIR", request.folder)
             .envs(request.operator_config.map(|path| ("LB_OPERATOR", path)))
             .current_dir(request.folder)
-            // An interrupt from the keyboard must not reach the processes before this one.
+            // In its own process group, the child does not receive a keyboard interrupt before this process handles it.
             .process_group(0)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -123,18 +125,18 @@
     }
 }
 
-type SpawnOrder = (Command, oneshot::Sender<io::Result<Child>>);
+type SpawnCommand = (Command, oneshot::Sender<io::Result<Child>>);
 
-/// A thread that spawns processes. The death signal of a child comes with the end of the thread that spawned it, not of
-/// its process, so one thread spawns all of them and lives as long as the run.
+/// A thread that spawns processes. The kernel sends a child's parent-death signal when the spawning thread ends, not
+/// when the spawning process ends. Therefore one thread, which lives until the end of the run, spawns all processes.
 struct Spawner {
-    orders: Option<mpsc::Sender<SpawnOrder>>,
+    commands: Option<mpsc::Sender<SpawnCommand>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Spawner {
     fn start() -> io::Result<Self> {
-        let (orders, received) = mpsc::channel::<SpawnOrder>();
+        let (commands, received) = mpsc::channel::<SpawnCommand>();
         let thread = std::thread::Builder::new()
             .name("spawner".into())
             .spawn(move || {
@@ -143,7 +145,7 @@
                 }
             })?;
         Ok(Self {
-            orders: Some(orders),
+            commands: Some(commands),
             thread: Some(thread),
         })
     }
@@ -151,7 +153,7 @@
     async fn spawn(&self, command: Command) -> io::Result<Child> {
         let thread_ended = || io::Error::from(io::ErrorKind::BrokenPipe);
         let (reply, child) = oneshot::channel();
-        self.orders
+        self.commands
             .as_ref()
             .ok_or_else(thread_ended)?
             .send((command, reply))
@@ -162,7 +164,7 @@
 
 impl Drop for Spawner {
     fn drop(&mut self) {
-        drop(self.orders.take());
+        drop(self.commands.take());
         self.thread.take().map(JoinHandle::join);
     }
 }
--- a/crates/cluster-test/src/supported.rs
+++ b/crates/cluster-test/src/supported.rs
@@ -1,43 +1,45 @@
-//! Which scenarios can be played with processes. What cannot be played is rejected by its name: it must not look as if
-//! it had been played.
+//! Validation that cluster runs support a scenario. Unsupported settings and faults are rejected by name, because a run
+//! that silently ignored them would report a misleading result.
 
 use woadstall_emulator::{Connections, FaultKind, Scenario, Tier};
 
-/// Relays for each pair and processes share one machine's descriptors.
+/// The limits on processes and pairs keep the proxies and processes within the file descriptors of one machine.
 const MAX_BALANCERS: u64 = 100;
 const MAX_UPSTREAMS: u64 = 1_000;
 const MAX_PAIRS: u64 = 8_000;
 
-/// Why a scenario cannot be played with processes.
+/// A reason why cluster runs do not support a scenario.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnsupportedScenario {
-    /// Too many processes.
-    #[error("`tier`: at most {MAX_BALANCERS} balancers and {MAX_UPSTREAMS} nodos in the rig")]
+    /// The scenario has too many balancers or upstreams.
+    #[error(
+        "`tier`: at most {MAX_BALANCERS} balancers and {MAX_UPSTREAMS} nodos are supported in cluster runs"
+    )]
     TooManyProcesses,
-    /// Too many links between balancers and upstreams.
-    #[error("`tier`: over {MAX_PAIRS} pairs of balancers and nodos")]
+    /// The scenario has too many pairs of a balancer and an upstream.
+    #[error("`tier`: more than {MAX_PAIRS} pairs of balancers and nodos")]
     TooManyPairs,
-    /// The emulator alone has this setting.
-    #[error("`{key}`: for the lab alone")]
+    /// Only the emulator supports this setting.
+    #[error("`{key}`: supported only by the emulator")]
     EmulatorOnlySetting {
-        /// The setting's key.
+        /// Key of the setting in the scenario file.
         key: &'static str,
     },
-    /// The emulator alone has this fault.
-    #[error("fault {number}: {kind} are for the lab alone")]
+    /// Only the emulator supports this kind of fault.
+    #[error("fault {number}: {kind} are supported only by the emulator")]
     EmulatorOnlyFault {
-        /// Its number among the scenario's faults, from 1 on.
+        /// Position of the fault among the scenario's faults, starting at 1.
         number: usize,
-        /// What the fault is of.
+        /// Plural noun phrase that names the kind of fault.
         kind: &'static str,
     },
 }
 
-/// Checks whether a scenario can be played with processes.
+/// Checks that cluster runs support a scenario.
 ///
 /// # Errors
 ///
-/// What of it cannot be played: its size, a setting or a fault.
+/// If the size, a setting or a fault of the scenario is not supported.
 pub fn check_supported(scenario: &Scenario) -> Result<(), UnsupportedScenario> {
     check_size(scenario)?;
     check_settings(scenario)?;
