--- a/crates/fault-proxy/src/conditions.rs
+++ b/crates/fault-proxy/src/conditions.rs
@@ -1,55 +1,56 @@
-//! What is wrong with a link: one direction between two nodes.
+//! Conditions of a link. A link is one direction between two nodes.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest delay and the largest jitter that a link may have.
+/// Upper limit of the delay and of the jitter of a link.
 pub const MAX_DELAY: Duration = Duration::from_secs(60);
 
-/// The conditions of a link. By default it is perfect: everything is delivered at once.
+/// Conditions of a link. The default is a perfect link, which delivers everything at once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkConditions {
-    /// The least latency.
+    /// Minimum latency of the link.
     pub delay: Duration,
-    /// The most that is added to the delay, drawn uniformly.
+    /// Maximum additional latency. The added latency is uniformly distributed between zero and this
+    /// value.
     pub jitter: Duration,
-    /// The fraction of datagrams that is lost, from 0 to 1. In a stream, a lost segment is
-    /// retransmitted, which delays all behind it.
+    /// Fraction of datagrams and stream segments that are lost, from 0 to 1. A lost segment of a
+    /// stream is retransmitted, which delays the segments after it.
     pub loss: f64,
-    /// The fraction of datagrams that is delivered twice, from 0 to 1.
+    /// Fraction of datagrams that are delivered twice, from 0 to 1.
     pub duplication: f64,
-    /// The fraction of datagrams that is reordered, from 0 to 1: they take the link's latency once
-    /// more.
+    /// Fraction of datagrams that are reordered, from 0 to 1. A reordered datagram takes the
+    /// latency of the link a second time.
     pub reordering: f64,
-    /// The bandwidth in bytes per second; 0 for no limit.
+    /// Bandwidth in bytes per second; 0 means unlimited.
     pub bytes_per_second: u64,
-    /// Whether the link is partitioned: nothing is delivered. Streams keep what was written until
-    /// the partition ends, and new ones do not come up.
+    /// Whether the link is partitioned. A partitioned link delivers nothing. Open streams hold
+    /// written bytes until the partition ends, and new streams cannot be established.
     pub partitioned: bool,
 }
 
-/// Conditions that no link can have.
+/// An invalid value in [`LinkConditions`].
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ConditionsError {
-    /// A fraction is not from 0 to 1.
-    #[error("`{field}` is {fraction}, not from 0 to 1")]
+    /// A fraction is outside the range from 0 to 1.
+    #[error("`{field}` is {fraction}, outside the range from 0 to 1")]
     Fraction {
-        /// The field of [`LinkConditions`].
+        /// Name of the field of [`LinkConditions`].
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         fraction: f64,
     },
-    /// The delay or the jitter is longer than [`MAX_DELAY`].
-    #[error("`delay` or `jitter` is {0:?}, over {MAX_DELAY:?}")]
+    /// The delay or the jitter exceeds [`MAX_DELAY`]. Holds the longer of the two.
+    #[error("`delay` or `jitter` is {0:?}, above the limit of {MAX_DELAY:?}")]
     Delay(Duration),
 }
 
 impl LinkConditions {
-    /// Checks that a link can have these conditions.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
     ///
-    /// If a fraction is not from 0 to 1, or a duration is longer than [`MAX_DELAY`].
+    /// If a fraction is outside the range from 0 to 1, or a duration exceeds [`MAX_DELAY`].
     pub fn check(&self) -> Result<(), ConditionsError> {
         let fractions = [
             ("loss", self.loss),
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Whether everything is delivered at once.
+    /// Whether the link delivers everything at once, without any fault.
     pub fn is_perfect(&self) -> bool {
         *self == Self::default()
     }
--- a/crates/fault-proxy/src/counters.rs
+++ b/crates/fault-proxy/src/counters.rs
@@ -1,19 +1,19 @@
-//! Counters of what goes through the proxies.
+//! Traffic counters of the proxies.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What has gone through the proxies so far.
+/// Traffic through all proxies since their start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
-    /// Streams that came up.
+    /// Number of streams that were established.
     pub streams_opened: u64,
-    /// Those that are open now.
+    /// Number of streams that are open now.
     pub streams_open: u64,
-    /// Bytes of streams, in both directions.
+    /// Stream bytes received from both sides.
     pub stream_bytes: u64,
-    /// Datagrams that were forwarded.
+    /// Number of datagrams forwarded; a duplicated datagram counts twice.
     pub datagrams_forwarded: u64,
-    /// Datagrams that were dropped on purpose.
+    /// Number of datagrams dropped because of loss, a partition, or a full window.
     pub datagrams_dropped: u64,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Counters {
-    /// Counts a stream, which is open until the guard is dropped.
+    /// Counts a stream as opened. The stream counts as open until the returned guard is dropped.
     pub(crate) fn open_stream(&self) -> OpenStream<'_> {
         self.streams_opened.fetch_add(1, Ordering::Relaxed);
         self.streams_open.fetch_add(1, Ordering::Relaxed);
@@ -58,7 +58,7 @@
     }
 }
 
-/// A stream that is counted as open.
+/// Guard for a stream that is counted as open.
 pub(crate) struct OpenStream<'a>(&'a Counters);
 
 impl Drop for OpenStream<'_> {
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -1,10 +1,11 @@
-//! Proxies on loopback through which the processes of a test reach each other, with faults by
+//! TCP and UDP proxies on loopback that connect the processes of a test and inject faults by
 //! ordered pair of nodes: delay, jitter, loss, duplication, reordering, limited bandwidth,
-//! partitions in one direction or both, resets; TCP and UDP.
+//! partitions in one direction or both, and resets.
 //!
-//! The processes know nothing of it: they are given, or announce, addresses that lead through it,
-//! as behind an address translator. [`schedule`] decides when bytes are delivered, without input or
-//! output; the rest is sockets. `docs/cluster-test.md` has what this cannot show.
+//! The proxies are transparent to the processes: the processes are configured with, or advertise,
+//! the addresses of proxies, as behind network address translation. [`schedule`] computes delivery
+//! times and performs no input or output; the other modules handle sockets.
+//! `docs/cluster-test.md` describes the limits of this approach.
 
 mod conditions;
 mod counters;
--- a/crates/fault-proxy/src/proxy.rs
+++ b/crates/fault-proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxies of a test: which node reaches which by what address, and the faults between them.
+//! The proxies of a test: addresses at which nodes reach each other, and faults on the links.
 
 use crate::conditions::LinkConditions;
 use crate::counters::TrafficCounts;
@@ -10,16 +10,16 @@
 use std::sync::{Arc, Mutex};
 use tokio::task::JoinSet;
 
-/// All proxies of a test. They end, and their sockets with them, when this is dropped.
+/// All proxies of a test. Dropping the value stops the proxies and closes their sockets.
 pub struct FaultProxy {
     state: Arc<SharedState>,
     tasks: Mutex<JoinSet<()>>,
-    /// The addresses of TCP proxies, by pair and target.
+    /// Listen addresses of the TCP proxies by client node, server node and target address.
     tcp_proxies: Mutex<BTreeMap<(NodeId, NodeId, SocketAddr), SocketAddr>>,
 }
 
 impl FaultProxy {
-    /// No proxies yet. All chance comes from the seed.
+    /// Creates a set without proxies. All random numbers derive from the seed.
     pub fn new(seed: u64) -> Self {
         Self {
             state: Arc::new(SharedState::new(seed)),
@@ -28,12 +28,12 @@
         }
     }
 
-    /// The address at which `from` reaches `to`, which listens for TCP at `target`. The same call
-    /// gives the same address.
+    /// Returns the address at which `from` reaches the TCP listener of `to` at `target`. Repeated
+    /// calls with the same arguments return the same address.
     ///
     /// # Errors
     ///
-    /// If no socket can listen there.
+    /// If the proxy cannot bind a listener.
     pub async fn proxy_tcp(
         &self,
         from: NodeId,
@@ -49,8 +49,9 @@
         Ok(address)
     }
 
-    /// The addresses at which two nodes, each with a UDP socket of its own, reach each other: the
-    /// first is the one that `one` sends to and receives from, the second is `other`'s.
+    /// Returns the addresses at which two nodes, each with its own UDP socket, reach each other.
+    /// The `first` node sends to and receives from the first address, the `second` node sends to
+    /// and receives from the second address.
     ///
     /// # Errors
     ///
@@ -65,50 +66,52 @@
         Ok(addresses)
     }
 
-    /// A node sends from this address, and no other node does.
+    /// Assigns a source address to a node. No other node may send from this address.
     pub fn assign_address(&self, node: NodeId, ip: IpAddr) {
         self.state.set_sender(ip, node);
     }
 
-    /// The address at which all others reach `to`, which receives datagrams and streams at
-    /// `target`. Senders are known by their [assigned addresses](Self::assign_address). Streams
-    /// come up here even over a partitioned link, and deliver nothing until the partition ends,
-    /// since many senders share one listener.
+    /// Returns the address at which all other nodes reach `to`, which receives datagrams and
+    /// streams at `target`. Senders are identified by their
+    /// [assigned addresses](Self::assign_address). Since many senders share one listener, streams
+    /// are established even over a partitioned link; they deliver nothing until the partition
+    /// ends.
     ///
     /// # Errors
     ///
-    /// If no socket can listen there.
+    /// If the proxy cannot bind its sockets.
     pub async fn proxy_shared(&self, to: NodeId, target: SocketAddr) -> io::Result<SocketAddr> {
         let (address, task) = shared::proxy(self.state.clone(), to, target).await?;
         lock(&self.tasks).spawn(task);
         Ok(address)
     }
 
-    /// Sets the conditions of a link from now on. What is in flight already keeps the time that it
-    /// was given.
+    /// Sets the conditions of a link. Bytes and datagrams already in flight keep the delivery times
+    /// that were computed for them.
     pub fn set_conditions(&self, from: NodeId, to: NodeId, conditions: LinkConditions) {
         self.state.set_conditions(from, to, conditions);
     }
 
-    /// The conditions of a link.
+    /// Returns the current conditions of a link.
     pub fn conditions(&self, from: NodeId, to: NodeId) -> LinkConditions {
         let link = self.state.watch_link(from, to);
         let link = link.borrow();
         link.conditions.clone()
     }
 
-    /// Resets all streams that `from` has opened to `to`.
+    /// Resets all streams that use the link from `from` to `to`.
     pub fn reset_streams(&self, from: NodeId, to: NodeId) {
         self.state.reset_streams(from, to);
     }
 
-    /// Sets whether a node's process runs. While it does not, new streams to it are refused, as its
-    /// host would: a proxy that accepted them would tell callers that something has come up.
+    /// Sets whether a node's process is running. The proxies refuse new streams to a stopped node,
+    /// as the host of a stopped process does. If the proxies accepted them, callers would wrongly
+    /// conclude that the process is running.
     pub fn set_running(&self, node: NodeId, is_running: bool) {
         self.state.set_running(node, is_running);
     }
 
-    /// What has gone through the proxies so far.
+    /// Returns the traffic counters of all proxies.
     pub fn counts(&self) -> TrafficCounts {
         self.state.counters.read()
     }
--- a/crates/fault-proxy/src/schedule.rs
+++ b/crates/fault-proxy/src/schedule.rs
@@ -1,19 +1,19 @@
-//! When bytes that enter a link are delivered at its other end. It is given the time, in
-//! nanoseconds of one clock, and the source of randomness.
+//! Computation of delivery times on a link. Callers pass the current time, in nanoseconds of a
+//! single clock, and the random number generator.
 
 use crate::conditions::LinkConditions;
 use rand::{Rng, RngExt};
 
-/// What a lost segment costs a stream, in nanoseconds: TCP's least retransmission time-out on
-/// Linux.
+/// Additional delay of a lost stream segment, in nanoseconds: the minimum TCP retransmission
+/// time-out on Linux.
 pub const RETRANSMISSION_NS: u64 = 200_000_000;
-/// What a lost handshake costs, in nanoseconds: TCP's initial retransmission time-out (RFC 6298).
+/// Additional delay of a lost handshake, in nanoseconds: the initial TCP retransmission time-out
+/// (RFC 6298).
 pub const HANDSHAKE_RETRANSMISSION_NS: u64 = 1_000_000_000;
-/// The least delay of a reordered datagram, in nanoseconds.
+/// Minimum additional delay of a reordered datagram, in nanoseconds.
 const MIN_REORDERING_NS: u64 = 1_000_000;
-/// Nanoseconds in a second.
-const SECOND_NS: u128 = 1_000_000_000;
-/// The longest transmission time, in nanoseconds, so that sums of times do not overflow.
+const NANOS_PER_SECOND: u128 = 1_000_000_000;
+/// Upper limit of the transmission time, in nanoseconds. It keeps sums of times from overflowing.
 const MAX_TRANSMISSION_NS: u128 = (u64::MAX / 4) as u128;
 
 impl LinkConditions {
@@ -23,31 +23,31 @@
     }
 }
 
-fn draw(rng: &mut impl Rng, share: f64) -> bool {
-    share > 0.0 && rng.random::<f64>() < share
+fn draw(rng: &mut impl Rng, probability: f64) -> bool {
+    probability > 0.0 && rng.random::<f64>() < probability
 }
 
-/// The transmitter of a link, which sends one byte after the other.
+/// Transmitter of a link, which sends bytes sequentially at the bandwidth of the link.
 #[derive(Clone, Debug, Default)]
 struct Transmitter {
-    /// When it has sent all bytes so far.
+    /// Time at which all bytes passed so far have been sent.
     idle_at_ns: u64,
 }
 
 impl Transmitter {
-    /// When the last of so many bytes is sent.
+    /// Queues `bytes` bytes and returns the time at which the last byte has been sent.
     fn transmit(&mut self, now_ns: u64, bytes: usize, bytes_per_second: u64) -> u64 {
         if bytes_per_second == 0 {
             return now_ns;
         }
-        let duration_ns = bytes as u128 * SECOND_NS / u128::from(bytes_per_second);
+        let duration_ns = bytes as u128 * NANOS_PER_SECOND / u128::from(bytes_per_second);
         let duration_ns = duration_ns.min(MAX_TRANSMISSION_NS) as u64;
         self.idle_at_ns = self.idle_at_ns.max(now_ns).saturating_add(duration_ns);
         self.idle_at_ns
     }
 }
 
-/// One direction of a stream: bytes are delivered once and in order.
+/// Delivery schedule of one direction of a stream. Bytes are delivered exactly once and in order.
 #[derive(Clone, Debug, Default)]
 pub struct StreamSchedule {
     transmitter: Transmitter,
@@ -55,7 +55,7 @@
 }
 
 impl StreamSchedule {
-    /// When a segment of so many bytes that is written now is delivered.
+    /// Returns the delivery time of a segment of `bytes` bytes that is written at `now_ns`.
     pub fn delivery_time_ns(
         &mut self,
         now_ns: u64,
@@ -92,14 +92,15 @@
     outbound.draw_latency_ns(rng) + inbound.draw_latency_ns(rng) + retransmission_ns
 }
 
-/// One direction of datagrams.
+/// Delivery schedule of one direction of datagram traffic.
 #[derive(Clone, Debug, Default)]
 pub struct DatagramSchedule {
     transmitter: Transmitter,
 }
 
 impl DatagramSchedule {
-    /// When a datagram of so many bytes that is sent now is delivered: never, once, or twice.
+    /// Returns the delivery times of a datagram of `bytes` bytes that is sent at `now_ns`. A lost
+    /// datagram has no delivery time, a duplicated one has two.
     pub fn delivery_times_ns(
         &mut self,
         now_ns: u64,
@@ -107,13 +108,13 @@
         conditions: &LinkConditions,
         rng: &mut impl Rng,
     ) -> [Option<u64>; 2] {
-        // All draws are made for each datagram, so that one fault does not change which ones
-        // another fault affects.
+        // Every datagram consumes the same number of random draws, so that enabling one fault does
+        // not change which datagrams another fault affects.
         let is_lost = draw(rng, conditions.loss);
         let is_duplicated = draw(rng, conditions.duplication);
         let is_reordered = draw(rng, conditions.reordering);
-        let first_ns = conditions.draw_latency_ns(rng);
-        let second_ns = conditions.draw_latency_ns(rng);
+        let first_latency_ns = conditions.draw_latency_ns(rng);
+        let second_latency_ns = conditions.draw_latency_ns(rng);
         if conditions.partitioned || is_lost {
             return [None, None];
         }
@@ -121,13 +122,13 @@
             .transmitter
             .transmit(now_ns, bytes, conditions.bytes_per_second);
         let reordering_ns = if is_reordered {
-            second_ns.max(MIN_REORDERING_NS)
+            second_latency_ns.max(MIN_REORDERING_NS)
         } else {
             0
         };
-        let duplicate_ns = sent_ns + first_ns.max(second_ns);
+        let duplicate_ns = sent_ns + first_latency_ns.max(second_latency_ns);
         [
-            Some(sent_ns + first_ns + reordering_ns),
+            Some(sent_ns + first_latency_ns + reordering_ns),
             is_duplicated.then_some(duplicate_ns),
         ]
     }
--- a/crates/fault-proxy/src/shared.rs
+++ b/crates/fault-proxy/src/shared.rs
@@ -1,5 +1,5 @@
-//! One address at which many others reach a node, for datagrams and streams: senders are known by
-//! the address that they send from, as each has one of its own.
+//! Proxy with one address at which many nodes reach a node, for datagrams and streams. Every sender
+//! has its own source address, which identifies it.
 
 use crate::schedule::DatagramSchedule;
 use crate::state::{LinkState, NodeId, SharedState};
@@ -13,10 +13,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Ports that are tried beyond the first until one is free for both protocols.
+/// Maximum number of retries with another port until a port is free for both TCP and UDP.
 const MAX_RETRIES: usize = 32;
 
-/// The address, and the proxy's task.
+/// Creates a shared proxy. Returns its address and its task.
 pub(crate) async fn proxy(
     state: Arc<SharedState>,
     to: NodeId,
@@ -32,7 +32,7 @@
     Ok((address, task))
 }
 
-/// Binds the same port for TCP and UDP.
+/// Binds a TCP listener and a UDP socket to the same port.
 async fn bind(ip: IpAddr) -> io::Result<(ProxyListener, UdpSocket)> {
     let mut retries = 0;
     loop {
@@ -66,7 +66,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 let Some((stream, peer)) = accepted else { continue };
-                // An unknown sender comes from outside the test.
+                // A stream from an unassigned source address does not belong to the test.
                 let Some(from) = state.sender(peer.ip()) else { continue };
                 let pair = StreamPair::new(state.clone(), from, to, target);
                 streams.spawn(pair.forward_once_healed(stream));
@@ -77,7 +77,7 @@
     }
 }
 
-/// The link of a sender of datagrams.
+/// Link from a sender of datagrams, with its delivery schedule.
 struct SenderLink {
     link: watch::Receiver<LinkState>,
     schedule: DatagramSchedule,
--- a/crates/fault-proxy/src/state.rs
+++ b/crates/fault-proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that all proxies of a test share: nodes, their addresses, and the conditions of links.
+//! State shared by all proxies of a test: nodes, their addresses, and the conditions of links.
 
 use crate::conditions::LinkConditions;
 use crate::counters::Counters;
@@ -11,24 +11,24 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A node that reaches others or is reached by them.
+/// Identifier of a node, which is one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The address on which proxies listen for a node. Linux routes all of 127.0.0.0/8 to itself,
-    /// so that ports do not run out at any.
+    /// Returns the IP address on which proxies listen for a node. Linux accepts all of 127.0.0.0/8
+    /// as local addresses; an address per node avoids running out of ports on a single address.
     pub(crate) fn proxy_ip(self) -> IpAddr {
         let [_, _, high, low] = self.0.to_be_bytes();
         IpAddr::V4(Ipv4Addr::new(127, 77, high, low))
     }
 }
 
-/// One direction between two nodes, as proxies see it.
+/// State of a link, which is one direction between two nodes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkState {
     pub(crate) conditions: LinkConditions,
-    /// The number of resets of all streams over the link so far.
+    /// Number of times that all streams over the link have been reset.
     pub(crate) resets: u64,
 }
 
@@ -37,9 +37,9 @@
     seed: u64,
     pub(crate) counters: Counters,
     links: Mutex<HashMap<(NodeId, NodeId), watch::Sender<LinkState>>>,
-    /// Whether the process of a node runs.
+    /// Running state of each node's process.
     running: Mutex<HashMap<NodeId, watch::Sender<bool>>>,
-    /// The nodes by the address that they send from.
+    /// Nodes by their source addresses.
     senders: Mutex<HashMap<IpAddr, NodeId>>,
     next_rng: AtomicU64,
 }
@@ -57,23 +57,23 @@
         }
     }
 
-    /// Nanoseconds since the start.
+    /// Returns the time since the creation of the state, in nanoseconds.
     pub(crate) fn now_ns(&self) -> u64 {
         self.started_at.elapsed().as_nanos() as u64
     }
 
-    /// The instant that is this many nanoseconds after the start.
+    /// Converts a time in nanoseconds since the creation of the state to an [`Instant`].
     pub(crate) fn instant(&self, at_ns: u64) -> Instant {
         self.started_at + Duration::from_nanos(at_ns)
     }
 
-    /// A random number generator of its own for each proxy, stream and direction.
+    /// Creates a random number generator. Each proxy, stream and direction uses its own generator.
     pub(crate) fn new_rng(&self) -> ChaCha8Rng {
         let number = self.next_rng.fetch_add(1, Ordering::Relaxed);
         ChaCha8Rng::seed_from_u64(self.seed ^ number)
     }
 
-    /// Watches a link.
+    /// Subscribes to the state of a link.
     pub(crate) fn watch_link(&self, from: NodeId, to: NodeId) -> watch::Receiver<LinkState> {
         let mut links = lock(&self.links);
         let link = links
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Watches whether a node's process runs; it does from the start.
+    /// Subscribes to the running state of a node's process. Nodes are initially running.
     pub(crate) fn watch_running(&self, node: NodeId) -> watch::Receiver<bool> {
         let mut running = lock(&self.running);
         let running = running
@@ -120,7 +120,7 @@
         });
     }
 
-    /// The node that sends from an address.
+    /// Returns the node that sends from a source address.
     pub(crate) fn sender(&self, ip: IpAddr) -> Option<NodeId> {
         lock(&self.senders).get(&ip).copied()
     }
--- a/crates/fault-proxy/src/tcp/forward.rs
+++ b/crates/fault-proxy/src/tcp/forward.rs
@@ -1,4 +1,4 @@
-//! One direction of a stream.
+//! Forwarding of one direction of a stream.
 
 use crate::schedule::StreamSchedule;
 use crate::state::{LinkState, SharedState};
@@ -13,13 +13,13 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// Bytes in flight in one direction of a stream at most; then its sender has to wait, as by a full
-/// TCP window.
+/// Maximum number of bytes in flight in one direction of a stream. At the limit the sender has to
+/// wait, as with a full TCP window.
 const WINDOW_BYTES: usize = 256 << 10;
-/// Bytes that are read at a time at most.
+/// Buffer space that is reserved for each read.
 const SEGMENT_BYTES: usize = 16 << 10;
 
-/// Bytes in flight.
+/// Bytes in flight with their delivery time.
 struct Segment {
     delivery_ns: u64,
     bytes: Bytes,
@@ -32,16 +32,16 @@
     schedule: StreamSchedule,
     rng: ChaCha8Rng,
     buffer: BytesMut,
-    /// How the sender has ended its direction, once it has; that is delivered behind the bytes
-    /// before it.
+    /// Result of the sender's end of stream: a shutdown or an error. It is delivered after all
+    /// bytes in flight. `None` while the sender's direction is open.
     ended: Option<io::Result<()>>,
     in_flight: VecDeque<Segment>,
     in_flight_bytes: usize,
 }
 
-/// What comes next.
+/// The next event of a forwarder.
 enum Event {
-    /// Bytes were read into the buffer; none at the end.
+    /// Bytes were read into the buffer; 0 bytes at the end of the stream.
     Read(io::Result<usize>),
     /// The first segment in flight is due.
     DeliveryDue,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Forwards until the sender's end is delivered.
+    /// Forwards bytes until the sender's end of stream has been delivered.
     pub(super) async fn run(&mut self, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
         loop {
             let is_partitioned = self.link.borrow_and_update().conditions.partitioned;
@@ -113,11 +113,12 @@
         Ok(())
     }
 
-    /// Writes what was read at once if the link is perfect, and otherwise schedules it.
+    /// Writes the read bytes at once if the link is perfect, and schedules their delivery
+    /// otherwise.
     async fn forward_buffer(&mut self, length: usize, to: &TcpStream) -> io::Result<()> {
         self.state.counters.add_stream_bytes(length);
         let bytes = self.buffer.split().freeze();
-        // As they are now: they may have changed while this waited for the bytes.
+        // The current conditions apply: they may have changed while the forwarder waited for bytes.
         let conditions = self.link.borrow().conditions.clone();
         if conditions.is_perfect() && self.in_flight.is_empty() {
             return write_all(to, bytes).await;
--- a/crates/fault-proxy/src/tcp/listener.rs
+++ b/crates/fault-proxy/src/tcp/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that can be closed, opened again at the same address, and made to ignore handshakes.
+//! A TCP listener that can be closed, reopened at the same address, and made to ignore handshakes.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
@@ -8,14 +8,14 @@
 use tokio::time::{sleep, timeout};
 use woadstall_socket_options::set_reuse_address;
 
-/// Streams that may wait to be accepted: the proxy itself must not drop a burst.
+/// Backlog of the listener, large enough that the proxy itself does not drop bursts of new streams.
 const BACKLOG: i32 = 1024;
-/// How long to wait until the address can be bound again.
+/// Delay before the next attempt to bind an address that is still in use.
 const REBIND_DELAY: Duration = Duration::from_millis(1);
-/// Streams that are opened to fill a backlog of length 0: it takes one, and a second one that does
-/// not come up shows that it is full.
+/// Maximum number of streams opened to fill a backlog of length 0. Such a backlog holds one stream;
+/// the time-out of a second stream shows that the backlog is full.
 const MAX_FILLERS: usize = 3;
-/// How long a filler may take to come up.
+/// Time limit for establishing a filler stream.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// The listener of a proxy.
@@ -27,7 +27,7 @@
 }
 
 impl ProxyListener {
-    /// Listens on any port of an address.
+    /// Listens on an ephemeral port of an IP address.
     pub(crate) fn bind(ip: IpAddr) -> io::Result<Self> {
         let listener = listen(SocketAddr::new(ip, 0), BACKLOG)?;
         Ok(Self {
@@ -41,14 +41,14 @@
         self.address
     }
 
-    /// Closes the listener: new streams are refused.
+    /// Closes the listener, so that the kernel refuses new streams.
     pub(crate) fn close(&mut self) {
         self.listener = None;
         self.fillers = Vec::new();
     }
 
-    /// Opens the listener again if it was closed. Returns whether it is open; if it cannot be yet,
-    /// after a while.
+    /// Reopens the listener if it is closed. Returns whether the listener is open. If the address
+    /// cannot be bound yet, returns after [`REBIND_DELAY`].
     pub(crate) async fn reopen(&mut self) -> bool {
         if self.listener.is_none() {
             match listen(self.address, BACKLOG) {
@@ -59,7 +59,7 @@
         self.listener.is_some()
     }
 
-    /// Fills the backlog, so that the kernel ignores further handshakes.
+    /// Fills the backlog with filler streams, so that the kernel ignores further handshakes.
     pub(crate) async fn ignore_handshakes(&mut self) {
         if let Some(listener) = &self.listener
             && self.fillers.is_empty()
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Lets the kernel complete handshakes again after they were ignored. The fillers are still to
-    /// be accepted.
+    /// Restores the backlog, so that the kernel completes handshakes again. The filler streams
+    /// remain in the backlog until [`Self::accept`] discards them.
     pub(crate) fn complete_handshakes(&self) {
         if let Some(listener) = &self.listener
             && !self.fillers.is_empty()
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Accepts a stream; `None` if that fails, or the stream is a filler. Cancel safe.
+    /// Accepts a stream. Returns `None` if accepting fails or the stream is a filler. This method
+    /// is cancel safe.
     pub(crate) async fn accept(&mut self) -> Option<(TcpStream, SocketAddr)> {
         let Some(listener) = &self.listener else {
             return std::future::pending().await;
--- a/crates/fault-proxy/src/tcp/mod.rs
+++ b/crates/fault-proxy/src/tcp/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies of streams.
+//! TCP proxies.
 
 mod forward;
 mod listener;
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The address at which `from` reaches `to`, and the proxy's task.
+/// Creates a proxy for streams from `from` to `to`. Returns its address and its task.
 pub(crate) fn proxy(
     state: Arc<SharedState>,
     from: NodeId,
--- a/crates/fault-proxy/src/tcp/pair.rs
+++ b/crates/fault-proxy/src/tcp/pair.rs
@@ -1,4 +1,4 @@
-//! The streams from one node to another.
+//! Streams from a client node to a server node.
 
 use super::forward::Forwarder;
 use super::listener::ProxyListener;
@@ -13,17 +13,18 @@
 use tokio::time::{sleep, timeout};
 use woadstall_socket_options::set_nodelay;
 
-/// How long a stream over a partitioned link is kept at most where many links share a listener.
+/// Time limit for holding an accepted stream over a partitioned link at a shared listener.
 const PARTITIONED_STREAM_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Both links between a client and a server.
+/// The links in both directions between a client node and a server node.
 #[derive(Clone)]
 pub(crate) struct StreamPair {
     state: Arc<SharedState>,
-    /// From the client to the server.
-    there: watch::Receiver<LinkState>,
-    back: watch::Receiver<LinkState>,
-    /// Where the server listens.
+    /// Link from the client to the server.
+    to_server_link: watch::Receiver<LinkState>,
+    /// Link from the server to the client.
+    to_client_link: watch::Receiver<LinkState>,
+    /// Listen address of the server.
     target: SocketAddr,
 }
 
@@ -35,26 +36,27 @@
         target: SocketAddr,
     ) -> Self {
         Self {
-            there: state.watch_link(from, to),
-            back: state.watch_link(to, from),
+            to_server_link: state.watch_link(from, to),
+            to_client_link: state.watch_link(to, from),
             target,
             state,
         }
     }
 
     fn is_partitioned(&self) -> bool {
-        self.there.borrow().conditions.partitioned || self.back.borrow().conditions.partitioned
+        self.to_server_link.borrow().conditions.partitioned
+            || self.to_client_link.borrow().conditions.partitioned
     }
 
-    /// Waits for a change of either link. Returns whether there may be further ones.
+    /// Waits for a change of either link. Returns whether further changes are possible.
     async fn link_changed(&mut self) -> bool {
         tokio::select! {
-            changed = self.there.changed() => changed.is_ok(),
-            changed = self.back.changed() => changed.is_ok(),
+            changed = self.to_server_link.changed() => changed.is_ok(),
+            changed = self.to_client_link.changed() => changed.is_ok(),
         }
     }
 
-    /// Accepts streams, as far as the server runs and its links are not partitioned.
+    /// Accepts and forwards streams while the server is running and neither link is partitioned.
     pub(super) async fn accept_streams(
         mut self,
         mut listener: ProxyListener,
@@ -73,8 +75,8 @@
             if !listener.reopen().await {
                 continue;
             }
-            self.there.borrow_and_update();
-            self.back.borrow_and_update();
+            self.to_server_link.borrow_and_update();
+            self.to_client_link.borrow_and_update();
             let is_partitioned = self.is_partitioned();
             if is_partitioned {
                 listener.ignore_handshakes().await;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Forwards a stream that was accepted over any link: once none is partitioned.
+    /// Forwards a stream from a shared listener once neither link is partitioned.
     pub(crate) async fn forward_once_healed(mut self, client: TcpStream) {
         let healed = async {
             while self.is_partitioned() {
@@ -112,42 +114,43 @@
         set_nodelay(&client);
         let mut rng = self.state.new_rng();
         let handshake_ns = handshake_ns(
-            &self.there.borrow().conditions,
-            &self.back.borrow().conditions,
+            &self.to_server_link.borrow().conditions,
+            &self.to_client_link.borrow().conditions,
             &mut rng,
         );
         if handshake_ns > 0 {
             sleep(Duration::from_nanos(handshake_ns)).await;
         }
         let Ok(server) = TcpStream::connect(self.target).await else {
-            // The server has just ended: what was written to it is lost, as on its own host.
+            // The server has just stopped. The reset discards the written bytes, as the
+            // server's own host does.
             client.set_zero_linger().ok();
             return;
         };
         set_nodelay(&server);
         let _open = self.state.counters.open_stream();
         if !self.forward_both_directions(&client, &server).await {
-            // A stream that was reset on one side is reset on the other, not ended.
+            // A reset on one side must reach the other side as a reset, not as a regular end.
             client.set_zero_linger().ok();
             server.set_zero_linger().ok();
         }
     }
 
-    /// Forwards both directions until both have ended. Returns whether they have, and were not
-    /// reset.
+    /// Forwards both directions until both have ended. Returns `false` if the stream was reset.
     async fn forward_both_directions(&self, client: &TcpStream, server: &TcpStream) -> bool {
-        let (mut there, mut back) = (self.there.clone(), self.back.clone());
-        let resets_there = there.borrow().resets;
-        let resets_back = back.borrow().resets;
-        let mut to_server = Forwarder::new(self.state.clone(), self.there.clone());
-        let mut to_client = Forwarder::new(self.state.clone(), self.back.clone());
+        let (mut to_server_link, mut to_client_link) =
+            (self.to_server_link.clone(), self.to_client_link.clone());
+        let to_server_resets = to_server_link.borrow().resets;
+        let to_client_resets = to_client_link.borrow().resets;
+        let mut to_server = Forwarder::new(self.state.clone(), self.to_server_link.clone());
+        let mut to_client = Forwarder::new(self.state.clone(), self.to_client_link.clone());
         let both = async {
             tokio::try_join!(to_server.run(client, server), to_client.run(server, client))
         };
         tokio::select! {
             ended = both => ended.is_ok(),
-            _ = there.wait_for(|link| link.resets != resets_there) => false,
-            _ = back.wait_for(|link| link.resets != resets_back) => false,
+            _ = to_server_link.wait_for(|link| link.resets != to_server_resets) => false,
+            _ = to_client_link.wait_for(|link| link.resets != to_client_resets) => false,
         }
     }
 }
--- a/crates/fault-proxy/src/udp.rs
+++ b/crates/fault-proxy/src/udp.rs
@@ -1,4 +1,4 @@
-//! Proxies of datagrams.
+//! UDP proxies.
 
 use crate::conditions::LinkConditions;
 use crate::schedule::DatagramSchedule;
@@ -11,35 +11,37 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep_until;
 
-/// Datagrams in flight in one direction at most; what is beyond is dropped, as by a full queue.
+/// Maximum number of datagrams in flight in one direction. Further datagrams are dropped, as by a
+/// full queue.
 const WINDOW_DATAGRAMS: usize = 4096;
-/// The length of the buffer for received datagrams, beyond the longest of IPv4.
+/// Size of the receive buffer, larger than the largest IPv4 datagram.
 pub(crate) const BUFFER_BYTES: usize = 65_536;
 
-/// The addresses at which two nodes reach each other, and the proxy's task.
+/// Creates a proxy between two UDP sockets. Returns the addresses at which the first and the second
+/// node reach each other, and the proxy's task.
 pub(crate) async fn proxy(
     state: Arc<SharedState>,
-    one: (NodeId, SocketAddr),
-    other: (NodeId, SocketAddr),
+    first: (NodeId, SocketAddr),
+    second: (NodeId, SocketAddr),
 ) -> io::Result<(
     (SocketAddr, SocketAddr),
     impl Future<Output = ()> + Send + 'static,
 )> {
-    // What arrives at the socket for one leaves by the one for the other, so that each receives
-    // from where it sends to.
-    let for_one = Arc::new(UdpSocket::bind(SocketAddr::new(one.0.proxy_ip(), 0)).await?);
-    let for_other = Arc::new(UdpSocket::bind(SocketAddr::new(other.0.proxy_ip(), 0)).await?);
-    let addresses = (for_one.local_addr()?, for_other.local_addr()?);
-    let there = forward(
+    // A datagram that arrives at the socket facing one node is sent from the socket facing the
+    // other node. Each node therefore receives from the same address that it sends to.
+    let first_socket = Arc::new(UdpSocket::bind(SocketAddr::new(first.0.proxy_ip(), 0)).await?);
+    let second_socket = Arc::new(UdpSocket::bind(SocketAddr::new(second.0.proxy_ip(), 0)).await?);
+    let addresses = (first_socket.local_addr()?, second_socket.local_addr()?);
+    let to_second = forward(
         state.clone(),
-        one,
-        for_one.clone(),
-        for_other.clone(),
-        other,
+        first,
+        first_socket.clone(),
+        second_socket.clone(),
+        second,
     );
-    let back = forward(state, other, for_other, for_one, one);
+    let to_first = forward(state, second, second_socket, first_socket, first);
     let task = async move {
-        tokio::join!(there, back);
+        tokio::join!(to_second, to_first);
     };
     Ok((addresses, task))
 }
@@ -60,7 +62,8 @@
             received = input.recv_from(&mut buffer) => received,
             () = forwarder.delivered() => continue,
         };
-        // An error is about an earlier datagram that nobody received. Strangers are ignored.
+        // A receive error reports that an earlier datagram was not delivered. Datagrams from
+        // unknown senders are ignored.
         let Ok((length, peer)) = received else {
             continue;
         };
@@ -74,7 +77,7 @@
     }
 }
 
-/// Forwards datagrams to one target, each at its time.
+/// Forwards datagrams to one target, each at its delivery time.
 pub(crate) struct DatagramForwarder {
     state: Arc<SharedState>,
     output: Arc<UdpSocket>,
@@ -94,14 +97,15 @@
         }
     }
 
-    /// Waits until a datagram in flight is delivered; forever while there is none.
+    /// Waits until a datagram in flight is delivered. Never completes while no datagram is in
+    /// flight.
     pub(crate) async fn delivered(&mut self) {
         if self.in_flight.join_next().await.is_none() {
             std::future::pending().await
         }
     }
 
-    /// Forwards a datagram under the conditions of its link: at once, later, twice or never.
+    /// Forwards a datagram under the conditions of its link: immediately, delayed, twice, or never.
     pub(crate) async fn forward(
         &mut self,
         conditions: &LinkConditions,
