--- a/crates/fault-proxy/tests/golden.rs
+++ b/crates/fault-proxy/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Times that fixed seeds give, as a digest: a change of names or shape changes none of them.
+//! Digests of the delivery times that fixed seeds produce. They detect unintended changes of the
+//! schedules, for example during refactoring.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +18,8 @@
     })
 }
 
-/// Every fault on its own, then all together.
+/// Returns perfect conditions, conditions with one fault each, and conditions with several faults
+/// combined.
 fn conditions() -> Vec<LinkConditions> {
     let delay = LinkConditions {
         delay: Duration::from_millis(7),
@@ -39,7 +41,7 @@
         reordering: 0.3,
         ..LinkConditions::default()
     };
-    let narrow = LinkConditions {
+    let limited_bandwidth = LinkConditions {
         bytes_per_second: 200_000,
         ..LinkConditions::default()
     };
@@ -47,7 +49,7 @@
         partitioned: true,
         ..LinkConditions::default()
     };
-    let all = LinkConditions {
+    let combined = LinkConditions {
         loss: 0.2,
         duplication: 0.2,
         reordering: 0.2,
@@ -61,14 +63,14 @@
         loss,
         duplicating,
         reordering,
-        narrow,
+        limited_bandwidth,
         partitioned,
-        all,
+        combined,
     ]
 }
 
 #[test]
-fn streams_have_the_recorded_times() {
+fn stream_delivery_times_match_recorded_digest() {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut stream = StreamSchedule::default();
     let conditions = conditions();
@@ -85,18 +87,18 @@
 }
 
 #[test]
-fn handshakes_have_the_recorded_times() {
+fn handshake_times_match_recorded_digest() {
     let mut rng = ChaCha8Rng::seed_from_u64(12);
     let conditions = conditions();
     let pairs = conditions
         .iter()
-        .flat_map(|there| conditions.iter().map(move |back| (there, back)));
-    let times = pairs.map(|(there, back)| handshake_ns(there, back, &mut rng));
+        .flat_map(|outbound| conditions.iter().map(move |inbound| (outbound, inbound)));
+    let times = pairs.map(|(outbound, inbound)| handshake_ns(outbound, inbound, &mut rng));
     assert_eq!(digest(times), 0xc921_fff5_2079_c31a);
 }
 
 #[test]
-fn datagrams_have_the_recorded_times() {
+fn datagram_delivery_times_match_recorded_digest() {
     let mut rng = ChaCha8Rng::seed_from_u64(13);
     let mut datagrams = DatagramSchedule::default();
     let conditions = conditions();
--- a/crates/fault-proxy/tests/overhead.rs
+++ b/crates/fault-proxy/tests/overhead.rs
@@ -1,5 +1,5 @@
-//! What a proxy costs: `cargo test --release -p woadstall-fault-proxy --test overhead -- --ignored
-//! --nocapture`.
+//! Measures the latency overhead of a proxy. Run with
+//! `cargo test --release -p woadstall-fault-proxy --test overhead -- --ignored --nocapture`.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -28,10 +28,10 @@
     durations[durations.len() / 2].as_secs_f64() * 1e6
 }
 
-/// Medians in microseconds: a call of 500 bytes there and back, and a connection with its first
-/// call.
-async fn cost(at: SocketAddr) -> (f64, f64) {
-    let mut stream = TcpStream::connect(at).await.unwrap();
+/// Returns two median latencies in microseconds: a call that sends and receives 500 bytes over an
+/// open connection, and the opening of a connection together with its first call.
+async fn measure_latency_us(address: SocketAddr) -> (f64, f64) {
+    let mut stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
     let (mut calls, mut connections, mut bytes) = (Vec::new(), Vec::new(), [7; 500]);
     for _ in 0..MEASUREMENTS {
@@ -42,7 +42,7 @@
     }
     for _ in 0..MEASUREMENTS / 10 {
         let start = Instant::now();
-        let mut stream = TcpStream::connect(at).await.unwrap();
+        let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(&bytes).await.unwrap();
         stream.read_exact(&mut bytes).await.unwrap();
         connections.push(start.elapsed());
@@ -51,17 +51,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-#[ignore = "a measurement"]
-async fn overhead() {
+#[ignore = "performance measurement"]
+async fn proxy_overhead() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let target = listener.local_addr().unwrap();
     tokio::spawn(echo(listener));
     let proxy = FaultProxy::new(1);
-    let through = proxy.proxy_tcp(NodeId(1), NodeId(2), target).await.unwrap();
+    let proxy_address = proxy.proxy_tcp(NodeId(1), NodeId(2), target).await.unwrap();
     for round in 1..=3 {
-        let ((call, connection), (far, new)) = (cost(target).await, cost(through).await);
+        let (direct_call_us, direct_connection_us) = measure_latency_us(target).await;
+        let (proxied_call_us, proxied_connection_us) = measure_latency_us(proxy_address).await;
         println!(
-            "{round}: a call {call:.0} us directly, {far:.0} through a proxy; with a new connection {connection:.0}, {new:.0}"
+            "{round}: call on an open connection: direct {direct_call_us:.0} us, proxied {proxied_call_us:.0} us; with a new connection: direct {direct_connection_us:.0} us, proxied {proxied_connection_us:.0} us"
         );
     }
 }
--- a/crates/fault-proxy/tests/schedule.rs
+++ b/crates/fault-proxy/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! When bytes are delivered, without sockets.
+//! Properties of the delivery schedules, tested without sockets.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -28,8 +28,8 @@
 }
 
 proptest! {
-    /// However the conditions change, segments are delivered in order, not before their delay, and
-    /// no faster than the bandwidth.
+    /// Under arbitrarily changing conditions, segments are delivered in order, not before their
+    /// delay, and no faster than the bandwidth.
     #[test]
     fn streams_keep_order_delay_and_bandwidth(seed: u64, segments in prop::collection::vec((0u64..20_000_000, 1usize..20_000, conditions()), 1..60)) {
         let (mut stream, mut rng) = (StreamSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A datagram is delivered never, once or twice, and never over a partitioned link.
+    /// A datagram is delivered at most twice, and never over a partitioned link.
     #[test]
     fn datagrams_are_delivered_at_most_twice(seed: u64, conditions in conditions(), duplication in 0.0..1.0f64, now in 0u64..1_000_000_000) {
         let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
@@ -55,11 +55,11 @@
     }
 }
 
-/// The shares that are lost, duplicated and reordered are those of the conditions, within four
-/// standard deviations.
+/// The shares of lost, duplicated and reordered datagrams match the conditions within four standard
+/// deviations.
 #[test]
-fn datagrams_are_lost_duplicated_and_reordered_in_the_given_shares() {
-    const SENT: u32 = 20_000;
+fn datagram_fault_shares_match_the_conditions() {
+    const SENT_DATAGRAMS: u32 = 20_000;
     let conditions = LinkConditions {
         loss: 0.1,
         duplication: 0.05,
@@ -69,7 +69,7 @@
     };
     let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(7));
     let (mut lost, mut duplicated, mut reordered) = (0, 0, 0);
-    for sent in 0..SENT {
+    for sent in 0..SENT_DATAGRAMS {
         let now = u64::from(sent) * 1_000_000;
         match datagrams.delivery_times_ns(now, 100, &conditions, &mut rng) {
             [None, _] => lost += 1,
@@ -79,22 +79,22 @@
             }
         }
     }
-    let delivered = f64::from(SENT - lost);
-    for (what, found, total, share) in [
-        ("lost", lost, f64::from(SENT), 0.1),
+    let delivered = f64::from(SENT_DATAGRAMS - lost);
+    for (fault, count, total, share) in [
+        ("lost", lost, f64::from(SENT_DATAGRAMS), 0.1),
         ("duplicated", duplicated, delivered, 0.05),
         ("reordered", reordered, delivered, 0.2),
     ] {
         let deviation = (total * share * (1.0 - share)).sqrt();
         assert!(
-            (f64::from(found) - total * share).abs() < 4.0 * deviation,
-            "{what}: {found} of {total}"
+            (f64::from(count) - total * share).abs() < 4.0 * deviation,
+            "{fault}: {count} of {total}"
         );
     }
 }
 
 #[test]
-fn a_bandwidth_limits_many_segments_together() {
+fn bandwidth_is_shared_by_all_segments() {
     let conditions = LinkConditions {
         bytes_per_second: 1_000_000,
         ..LinkConditions::default()
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn impossible_conditions_are_rejected_by_field() {
+fn invalid_conditions_are_rejected_by_field_name() {
     let error = LinkConditions {
         loss: 1.5,
         ..LinkConditions::default()
--- a/crates/fault-proxy/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Proxies between sockets of this host.
+//! Fault injection between sockets on this host.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 
 const A: NodeId = NodeId(1);
 const B: NodeId = NodeId(2);
-/// Far more than anything takes here.
+/// Time limit of socket operations, far above their normal duration.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn partitioned() -> LinkConditions {
@@ -26,14 +26,14 @@
     (listener, address)
 }
 
-/// Both ends of a stream through a proxy.
-async fn connect(listener: &TcpListener, through: SocketAddr) -> (TcpStream, TcpStream) {
-    let near = TcpStream::connect(through).await.unwrap();
-    let (far, _) = timeout(TIMEOUT, listener.accept())
+/// Opens a stream through a proxy and returns the client end and the server end.
+async fn connect(listener: &TcpListener, proxy_address: SocketAddr) -> (TcpStream, TcpStream) {
+    let client = TcpStream::connect(proxy_address).await.unwrap();
+    let (server, _) = timeout(TIMEOUT, listener.accept())
         .await
         .expect("a stream")
         .unwrap();
-    (near, far)
+    (client, server)
 }
 
 async fn read(stream: &mut TcpStream, length: usize) -> Vec<u8> {
@@ -45,48 +45,48 @@
     bytes
 }
 
-/// Numbers in sequence, so that bytes that are invented, duplicated or reordered show.
+/// Encodes consecutive numbers, so that inserted, duplicated or reordered bytes are detected.
 fn numbers(from: u32, count: u32) -> Vec<u8> {
     (from..from + count).flat_map(u32::to_be_bytes).collect()
 }
 
-/// 2,000 streams over a link partitioned in one direction: the other direction goes on, and after
-/// healing each has all that was written, in order.
+/// 2,000 streams over a link that is partitioned in one direction: the opposite direction keeps
+/// working, and after the partition every stream delivers all written bytes in order.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_partition_in_one_direction_keeps_the_other_and_loses_nothing() {
+async fn one_way_partition_loses_no_bytes() {
     let (listener, target) = listener().await;
     let proxy = FaultProxy::new(3);
-    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
-    let mut all = Vec::new();
+    let proxy_address = proxy.proxy_tcp(A, B, target).await.unwrap();
+    let mut streams = Vec::new();
     for _ in 0..2_000 {
-        all.push(connect(&listener, through).await);
+        streams.push(connect(&listener, proxy_address).await);
     }
-    for (near, far) in &mut all {
-        near.write_all(&numbers(0, 8)).await.unwrap();
-        assert_eq!(read(far, 32).await, numbers(0, 8));
+    for (client, server) in &mut streams {
+        client.write_all(&numbers(0, 8)).await.unwrap();
+        assert_eq!(read(server, 32).await, numbers(0, 8));
     }
     proxy.set_conditions(A, B, partitioned());
-    for (near, far) in &mut all {
-        near.write_all(&numbers(8, 64)).await.unwrap();
-        far.write_all(&numbers(100, 64)).await.unwrap();
+    for (client, server) in &mut streams {
+        client.write_all(&numbers(8, 64)).await.unwrap();
+        server.write_all(&numbers(100, 64)).await.unwrap();
     }
-    for (near, far) in &mut all {
-        assert_eq!(read(near, 256).await, numbers(100, 64));
-        let nothing = far.try_read(&mut [0; 16]).map_err(|error| error.kind());
+    for (client, server) in &mut streams {
+        assert_eq!(read(client, 256).await, numbers(100, 64));
+        let nothing = server.try_read(&mut [0; 16]).map_err(|error| error.kind());
         assert_eq!(
             nothing,
             Err(std::io::ErrorKind::WouldBlock),
-            "something came over the partitioned link"
+            "bytes were delivered over the partitioned link"
         );
     }
-    for (near, _) in &mut all {
-        near.write_all(&numbers(72, 8)).await.unwrap();
-        near.shutdown().await.unwrap();
+    for (client, _) in &mut streams {
+        client.write_all(&numbers(72, 8)).await.unwrap();
+        client.shutdown().await.unwrap();
     }
     proxy.set_conditions(A, B, LinkConditions::default());
-    for (_, far) in &mut all {
+    for (_, server) in &mut streams {
         let mut rest = Vec::new();
-        timeout(TIMEOUT, far.read_to_end(&mut rest))
+        timeout(TIMEOUT, server.read_to_end(&mut rest))
             .await
             .expect("the end")
             .unwrap();
@@ -99,93 +99,96 @@
     assert_eq!(proxy.counts().streams_opened, 2_000);
 }
 
-/// Over a partition in either direction no stream comes up, nor is it refused; after healing it
-/// does.
+/// During a partition in either direction, new streams are neither established nor refused. After
+/// the partition, a waiting stream is established.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn over_a_partition_no_stream_comes_up() {
+async fn partitions_prevent_new_streams() {
     let (listener, target) = listener().await;
     let proxy = FaultProxy::new(3);
-    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
-    drop(connect(&listener, through).await);
+    let proxy_address = proxy.proxy_tcp(A, B, target).await.unwrap();
+    drop(connect(&listener, proxy_address).await);
     for (from, to) in [(A, B), (B, A)] {
         proxy.set_conditions(from, to, partitioned());
-        tokio::time::sleep(Duration::from_millis(100)).await; // the proxy's backlog is full by then
+        tokio::time::sleep(Duration::from_millis(100)).await; // time for the proxy to fill its backlog
         let mut attempts = JoinSet::new();
         for _ in 0..5 {
             attempts.spawn(timeout(
                 Duration::from_millis(300),
-                TcpStream::connect(through),
+                TcpStream::connect(proxy_address),
             ));
         }
         while let Some(attempt) = attempts.join_next().await {
-            assert!(attempt.unwrap().is_err(), "it came up, or was refused");
+            assert!(
+                attempt.unwrap().is_err(),
+                "the stream was established or refused during the partition"
+            );
         }
-        let waiting = tokio::spawn(timeout(TIMEOUT, TcpStream::connect(through)));
+        let waiting = tokio::spawn(timeout(TIMEOUT, TcpStream::connect(proxy_address)));
         tokio::time::sleep(Duration::from_millis(50)).await;
         proxy.set_conditions(from, to, LinkConditions::default());
         assert!(
             waiting
                 .await
                 .unwrap()
-                .expect("it comes up once healed")
+                .expect("the stream is established after the partition")
                 .is_ok()
         );
-        drop(connect(&listener, through).await);
+        drop(connect(&listener, proxy_address).await);
     }
 }
 
-/// Where no process runs, streams are refused at once; the next one is reached at the same address.
+/// A stopped node refuses new streams. After a restart, the node is reachable at the same address.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stopped_node_refuses_streams_until_it_runs_again() {
     let (listener, target) = listener().await;
     let proxy = FaultProxy::new(3);
-    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
-    drop(connect(&listener, through).await);
+    let proxy_address = proxy.proxy_tcp(A, B, target).await.unwrap();
+    drop(connect(&listener, proxy_address).await);
     proxy.set_running(B, false);
     let refused = timeout(TIMEOUT, async {
-        while TcpStream::connect(through).await.is_ok() {
+        while TcpStream::connect(proxy_address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     });
-    refused.await.expect("it is refused");
+    refused.await.expect("the stream is refused");
     proxy.set_running(B, true);
     let found = timeout(TIMEOUT, async {
         loop {
-            match TcpStream::connect(through).await {
+            match TcpStream::connect(proxy_address).await {
                 Ok(found) => break found,
                 Err(_) => tokio::time::sleep(Duration::from_millis(1)).await,
             }
         }
     });
-    found.await.expect("it is found");
+    found.await.expect("the restarted node is reachable");
 }
 
-/// A stream that is reset on one side is reset on the other: it does not end there as if all had
-/// been delivered.
+/// A reset on one side of a stream reaches the other side as a reset, not as a regular end of
+/// stream, which would claim that all bytes were delivered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resets_are_forwarded_as_resets() {
     let (listener, target) = listener().await;
     let proxy = FaultProxy::new(3);
-    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
-    let (mut near, far) = connect(&listener, through).await;
-    far.set_zero_linger().unwrap();
-    drop(far);
-    let broken = timeout(TIMEOUT, near.read(&mut [0; 8]))
+    let proxy_address = proxy.proxy_tcp(A, B, target).await.unwrap();
+    let (mut client, server) = connect(&listener, proxy_address).await;
+    server.set_zero_linger().unwrap();
+    drop(server);
+    let read_result = timeout(TIMEOUT, client.read(&mut [0; 8]))
         .await
-        .expect("the reset");
-    assert!(broken.is_err(), "{broken:?}");
-    let (mut near, mut far) = connect(&listener, through).await;
-    near.write_all(b"before").await.unwrap();
-    assert_eq!(read(&mut far, 6).await, b"before");
+        .expect("the read ends before the time-out");
+    assert!(read_result.is_err(), "{read_result:?}");
+    let (mut client, mut server) = connect(&listener, proxy_address).await;
+    client.write_all(b"before").await.unwrap();
+    assert_eq!(read(&mut server, 6).await, b"before");
     proxy.reset_streams(A, B);
     assert!(
-        timeout(TIMEOUT, near.read(&mut [0; 8]))
+        timeout(TIMEOUT, client.read(&mut [0; 8]))
             .await
             .expect("the reset")
             .is_err()
     );
     assert!(
-        timeout(TIMEOUT, far.read(&mut [0; 8]))
+        timeout(TIMEOUT, server.read(&mut [0; 8]))
             .await
             .expect("the reset")
             .is_err()
@@ -196,8 +199,8 @@
 async fn delay_and_bandwidth_apply_to_their_own_direction() {
     let (listener, target) = listener().await;
     let proxy = FaultProxy::new(3);
-    let through = proxy.proxy_tcp(A, B, target).await.unwrap();
-    let (mut near, mut far) = connect(&listener, through).await;
+    let proxy_address = proxy.proxy_tcp(A, B, target).await.unwrap();
+    let (mut client, mut server) = connect(&listener, proxy_address).await;
     proxy.set_conditions(
         A,
         B,
@@ -215,12 +218,12 @@
         },
     );
     let began = Instant::now();
-    near.write_all(b"there").await.unwrap();
-    read(&mut far, 5).await;
+    client.write_all(b"there").await.unwrap();
+    read(&mut server, 5).await;
     assert!(began.elapsed() >= Duration::from_millis(60));
     let began = Instant::now();
-    far.write_all(&[0; 20_000]).await.unwrap();
-    read(&mut near, 20_000).await;
+    server.write_all(&[0; 20_000]).await.unwrap();
+    read(&mut client, 20_000).await;
     assert!(
         began.elapsed() >= Duration::from_millis(195),
         "{:?}",
@@ -228,34 +231,35 @@
     );
 }
 
-/// A UDP socket at each of two nodes, and the addresses at which they reach each other.
+/// UDP sockets of two nodes, and the proxy addresses at which the nodes reach each other.
 struct UdpPair {
     proxy: FaultProxy,
-    one: UdpSocket,
-    other: UdpSocket,
-    for_one: SocketAddr,
-    for_other: SocketAddr,
+    first_socket: UdpSocket,
+    second_socket: UdpSocket,
+    first_proxy_address: SocketAddr,
+    second_proxy_address: SocketAddr,
 }
 
 impl UdpPair {
     async fn new() -> Self {
-        let one = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let first_socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let second_socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let proxy = FaultProxy::new(3);
-        let at_one = (A, one.local_addr().unwrap());
-        let at_other = (B, other.local_addr().unwrap());
-        let (for_one, for_other) = proxy.proxy_udp(at_one, at_other).await.unwrap();
+        let first_node = (A, first_socket.local_addr().unwrap());
+        let second_node = (B, second_socket.local_addr().unwrap());
+        let (first_proxy_address, second_proxy_address) =
+            proxy.proxy_udp(first_node, second_node).await.unwrap();
         Self {
             proxy,
-            one,
-            other,
-            for_one,
-            for_other,
+            first_socket,
+            second_socket,
+            first_proxy_address,
+            second_proxy_address,
         }
     }
 }
 
-/// The next datagram that a socket receives, and its sender.
+/// Receives the next datagram and the address of its sender.
 async fn receive(socket: &UdpSocket) -> (Vec<u8>, SocketAddr) {
     let mut buffer = [0; 64];
     let received = timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
@@ -264,40 +268,64 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn datagrams_come_from_the_address_that_replies_go_to() {
+async fn datagrams_arrive_from_the_reply_address() {
     let pair = UdpPair::new().await;
-    pair.one.send_to(b"one", pair.for_one).await.unwrap();
-    let (datagram, from) = receive(&pair.other).await;
-    assert_eq!((&datagram[..], from), (&b"one"[..], pair.for_other));
-    pair.other.send_to(b"other", from).await.unwrap();
-    let (datagram, from) = receive(&pair.one).await;
-    assert_eq!((&datagram[..], from), (&b"other"[..], pair.for_one));
+    pair.first_socket
+        .send_to(b"one", pair.first_proxy_address)
+        .await
+        .unwrap();
+    let (datagram, from) = receive(&pair.second_socket).await;
+    assert_eq!(
+        (&datagram[..], from),
+        (&b"one"[..], pair.second_proxy_address)
+    );
+    pair.second_socket.send_to(b"other", from).await.unwrap();
+    let (datagram, from) = receive(&pair.first_socket).await;
+    assert_eq!(
+        (&datagram[..], from),
+        (&b"other"[..], pair.first_proxy_address)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn datagrams_over_a_partitioned_link_are_lost_and_those_back_are_not() {
+async fn one_way_partition_drops_datagrams_in_one_direction() {
     let pair = UdpPair::new().await;
     pair.proxy.set_conditions(A, B, partitioned());
-    pair.one.send_to(b"lost", pair.for_one).await.unwrap();
+    pair.first_socket
+        .send_to(b"lost", pair.first_proxy_address)
+        .await
+        .unwrap();
     let back = b"not lost";
-    pair.other.send_to(back, pair.for_other).await.unwrap();
-    assert_eq!(receive(&pair.one).await.0, back);
+    pair.second_socket
+        .send_to(back, pair.second_proxy_address)
+        .await
+        .unwrap();
+    assert_eq!(receive(&pair.first_socket).await.0, back);
     let duplicating = LinkConditions {
         duplication: 1.0,
         ..LinkConditions::default()
     };
     pair.proxy.set_conditions(A, B, duplicating);
-    pair.one.send_to(b"twice", pair.for_one).await.unwrap();
+    pair.first_socket
+        .send_to(b"twice", pair.first_proxy_address)
+        .await
+        .unwrap();
     for _ in 0..2 {
-        assert_eq!(receive(&pair.other).await.0, b"twice");
+        assert_eq!(receive(&pair.second_socket).await.0, b"twice");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn datagrams_of_strangers_are_ignored() {
+async fn datagrams_from_unknown_senders_are_ignored() {
     let pair = UdpPair::new().await;
-    let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    stranger.send_to(b"stranger", pair.for_one).await.unwrap();
-    pair.one.send_to(b"known", pair.for_one).await.unwrap();
-    assert_eq!(receive(&pair.other).await.0, b"known");
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    unknown_sender
+        .send_to(b"stranger", pair.first_proxy_address)
+        .await
+        .unwrap();
+    pair.first_socket
+        .send_to(b"known", pair.first_proxy_address)
+        .await
+        .unwrap();
+    assert_eq!(receive(&pair.second_socket).await.0, b"known");
 }
