--- a/crates/cluster-test/tests/common/mod.rs
+++ b/crates/cluster-test/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the command as its users do, on a small fleet that tests change to their needs.
+//! Helpers that run the command-line program on a small scenario, which tests extend as needed.
 
-#![allow(dead_code, reason = "each test program uses some of it")]
+#![allow(dead_code, reason = "each test program uses a subset")]
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,8 @@
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Times are long, so that a busy machine does not look like a slow fleet.
+/// A scenario with four balancers and six upstreams. Its targets and deadlines are long, so that a busy machine is not
+/// mistaken for a slow fleet.
 pub const SMALL_SCENARIO: &str = r#"
 name = "small"
 time = "4 s"
@@ -45,14 +46,15 @@
 jitter = "20 ms"
 "#;
 
-/// One run at a time: two of them share the cores, and the slower is none.
+/// Serializes the runs of a test program. Concurrent runs compete for the cores, and a run that is too slow gives no
+/// verdict.
 pub fn run_exclusively() -> MutexGuard<'static, ()> {
     static RUNS: Mutex<()> = Mutex::new(());
     RUNS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The shipped program. A test of the whole workspace has built it beside the command; a test of this crate alone has
-/// not.
+/// Returns the path of the shipped program. A test run of the whole workspace has already built the program; a test run
+/// of this crate alone has not, so the program is built here.
 pub fn program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
@@ -71,20 +73,21 @@
     })
 }
 
-/// A folder with a scenario of so many seconds, in which temporary files of the run lie too.
+/// Creates a temporary directory with the small scenario, which lasts `seconds` and is extended by `more`. The run also
+/// keeps its temporary files there.
 pub fn scenario_folder(seconds: u32, more: &str) -> tempfile::TempDir {
     let small = SMALL_SCENARIO.replace("time = \"4 s\"", &format!("time = \"{seconds} s\""));
     folder_with(&(small + more))
 }
 
-/// A folder with this scenario.
+/// Creates a temporary directory with a scenario file.
 pub fn folder_with(scenario: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("scenario.toml"), scenario).unwrap();
     folder
 }
 
-/// The command in a folder, which its temporary files go to as well.
+/// Returns the command-line program with `folder` as its working directory and as its directory for temporary files.
 pub fn command(folder: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_woadstall-cluster-test"));
     command
@@ -99,7 +102,7 @@
     command
 }
 
-/// The command that plays the scenario in a folder and prints JSON.
+/// Returns the command that executes the scenario in `folder` and prints JSON.
 pub fn run_command(folder: &Path, more: &[&str]) -> Command {
     let program = program().to_str().unwrap();
     command(
@@ -112,27 +115,28 @@
     )
 }
 
-/// What a run printed. Its folder is gone, unless it kept its logs since something was broken.
+/// Parses the JSON output of a run, and checks that the exit code matches the result.
 pub fn result(output: &Output) -> Value {
     let stderr = String::from_utf8_lossy(&output.stderr);
     let result: Value =
         serde_json::from_slice(&output.stdout).unwrap_or_else(|error| panic!("{error}: {stderr}"));
     let code = output.status.code();
-    // A machine that is too slow gives no verdict; what it saw is there all the same.
-    let wanted = if result["kept"] == true { 0 } else { 1 };
+    // On a machine that is too slow, the exit code gives no verdict, but the result is still complete.
+    let expected_code = if result["kept"] == true { 0 } else { 1 };
     assert!(
-        code == Some(wanted) || code == Some(4) && result["too-slow"].is_string(),
+        code == Some(expected_code) || code == Some(4) && result["too-slow"].is_string(),
         "{code:?}: {stderr}"
     );
     result
 }
 
-/// Plays the small scenario for so many seconds, with more of a scenario behind it.
+/// Executes the small scenario, which lasts `seconds` and is extended by `more`.
 pub fn run_scenario(seconds: u32, more: &str, arguments: &[&str]) -> Value {
     run_in(&scenario_folder(seconds, more), arguments)
 }
 
-/// Plays the scenario in a folder.
+/// Executes the scenario in `folder`. Checks that a passed run has removed its run directory; a failed run keeps the
+/// directory with its logs.
 pub fn run_in(folder: &tempfile::TempDir, arguments: &[&str]) -> Value {
     let result = result(&run_command(folder.path(), arguments).output().unwrap());
     if result["kept"] == true {
@@ -141,7 +145,7 @@
     result
 }
 
-/// Folders of runs that are there.
+/// Returns the existing run directories below `folder`.
 pub fn run_folders(folder: &Path) -> Vec<PathBuf> {
     let all = std::fs::read_dir(folder)
         .unwrap()
@@ -156,7 +160,7 @@
     .collect()
 }
 
-/// The numbers of the processes that a run has recorded as started.
+/// Returns the identifiers of the processes that a run has recorded as started.
 pub fn recorded_pids(run_folder: &Path) -> Vec<i32> {
     let processes = std::fs::read_to_string(run_folder.join("processes")).unwrap_or_default();
     processes
@@ -165,31 +169,31 @@
         .collect()
 }
 
-/// Whether a process lives.
+/// Whether a process is running.
 pub fn is_running(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // What nobody has waited for yet is dead all the same.
+    // A zombie has ended, although its parent has not waited for it yet.
     stat.rsplit_once(") ")
         .is_some_and(|(_, rest)| !rest.starts_with('Z'))
 }
 
-/// Waits for a condition, 20 s at most.
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits up to 20 s for a condition.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < Duration::from_secs(20), "{what}");
+        assert!(began.elapsed() < Duration::from_secs(20), "{description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// How often a rule was broken.
+/// Returns the number of violations of a rule.
 pub fn breaches(result: &Value, rule: &str) -> u64 {
     result["breaches"][rule]
         .as_u64()
         .unwrap_or_else(|| panic!("{}", result["breaches"]))
 }
 
-/// Asserts that no rule and no bound was broken, and that no process crashed.
+/// Asserts that no rule and no bound was violated, and that no process crashed.
 pub fn assert_passed(result: &Value) {
     assert_eq!(
         result["kept"], true,
--- a/crates/cluster-test/tests/evacuation.rs
+++ b/crates/cluster-test/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Processes that evacuate a zone together.
+//! Coordinated evacuation of a zone by several processes.
 
 mod common;
 
@@ -11,8 +11,9 @@
     "zones=[\"a\",\"b\",\"c\"]",
 ];
 
-/// A zone does not respond to nine processes: those that call there and those that do not evacuate it together, three that
-/// restart meanwhile learn it, no other zone is evacuated, and unsafe calls that were in flight there ran once at most.
+/// The upstreams of zone a stop responding to nine balancers. All balancers evacuate the zone, whether they send calls to
+/// it or not. Three balancers that restart during the fault learn of the evacuation. No other zone is evacuated, and
+/// unsafe calls in flight in the zone are executed at most once.
 #[test]
 fn an_unresponsive_zone_is_evacuated_by_all_processes() {
     let _exclusive = run_exclusively();
@@ -34,15 +35,15 @@
 what = { restart = {} }
 
 [[bound]]
-name = "all leave it"
+name = "all balancers evacuate a"
 what = { out = { zone = "a", from = "6 s", part = 0.99, within = "5 s" } }
 
 [[bound]]
-name = "those that restart as well"
+name = "restarted balancers evacuate a"
 what = { out = { zone = "a", from = "13500 ms", part = 0.99, within = "4 s" } }
 
 [[bound]]
-name = "b stays"
+name = "b is not evacuated"
 what = { stays = { zone = "b", from = "0 s", until = "20 s", most = 0.0 } }
 
 "#;
@@ -55,10 +56,10 @@
     );
 }
 
-/// Halves that are partitioned from each other, and errors in all zones: each half does what it can prove, and no zone is
-/// evacuated for what fails everywhere.
+/// The members are partitioned into two halves while upstreams in all zones return errors. Each half acts only on its
+/// own evidence, and no zone is evacuated because of errors that occur in all zones.
 #[test]
-fn what_fails_everywhere_is_evacuated_by_no_process() {
+fn errors_in_all_zones_cause_no_evacuation() {
     let _exclusive = run_exclusively();
     let more = r#"
 [members]
@@ -77,11 +78,11 @@
 what = { errors = { share = 0.5 } }
 
 [[bound]]
-name = "a stays"
+name = "a is not evacuated"
 what = { stays = { zone = "a", from = "0 s", until = "14 s", most = 0.12 } }
 
 [[bound]]
-name = "b stays"
+name = "b is not evacuated"
 what = { stays = { zone = "b", from = "0 s", until = "14 s", most = 0.12 } }
 
 "#;
--- a/crates/cluster-test/tests/membership.rs
+++ b/crates/cluster-test/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership among processes that are killed, suspended, partitioned on one side, or flooded.
+//! Membership among processes that are killed, suspended, partitioned in one direction, or flooded with datagrams.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 const EIGHT_BALANCERS: [&str; 2] = ["--set", "tier.0.balancers=8"];
-/// Three zones: with two alone no member reaches both sides of a partition.
+/// Three zones are required: with two zones, no member reaches both sides of a partition.
 const NINE_IN_THREE_ZONES: [&str; 4] = [
     "--set",
     "tier.0.balancers=9",
@@ -18,9 +18,9 @@
     "zones=[\"a\",\"b\",\"c\"]",
 ];
 
-/// Half of the members die and restart as new incarnations, two are suspended, then the links from one zone to another
-/// are partitioned: no living member is reported dead, dead ones are known, partitioned links are reported on both sides,
-/// and calls keep their rules.
+/// Half of the members are killed and restart as new incarnations, two members are suspended, and then the links from one
+/// zone to another are partitioned. No living member is reported dead, killed members are reported dead, the members at
+/// both ends report the partitioned links, and no call violates a rule.
 #[test]
 fn only_dead_members_are_reported_dead() {
     let _exclusive = run_exclusively();
@@ -46,27 +46,27 @@
 what = { between = { to = "b", cut = true } }
 
 [[bound]]
-name = "nobody"
+name = "no false deaths"
 what = { false-deaths = { most = 0 } }
 
 [[bound]]
-name = "deaths"
+name = "deaths are reported"
 what = { deaths-known = { within = "4 s" } }
 
 [[bound]]
-name = "back"
+name = "members agree after the restart"
 what = { together = { from = "6 s", within = "4 s" } }
 
 [[bound]]
-name = "awake"
+name = "members agree after the suspension"
 what = { together = { from = "12 s", within = "3 s" } }
 
 [[bound]]
-name = "cuts"
+name = "partitioned links are reported"
 what = { cuts-named = { at = "26500 ms", least = 0.9 } }
 
 [[bound]]
-name = "healed"
+name = "members agree after the partition"
 what = { together = { from = "27 s", within = "3 s" } }
 "#;
     let result = run_scenario(31, faults, &NINE_IN_THREE_ZONES);
@@ -83,8 +83,8 @@
     );
 }
 
-/// One member alone reaches two halves, another restarts again and again, a third has a tenth of its time: no living
-/// member is reported dead, and all agree again each time.
+/// A single member bridges two partitioned halves, then a member restarts repeatedly, then a member is suspended for nine
+/// tenths of the time. No living member is reported dead, and all members agree again after each fault.
 #[test]
 fn bridged_flapping_and_slow_members_cause_no_false_deaths() {
     let _exclusive = run_exclusively();
@@ -112,36 +112,36 @@
 again = { every = "100 ms", times = 50 }
 
 [[bound]]
-name = "nobody"
+name = "no false deaths"
 what = { false-deaths = { most = 0 } }
 
 [[bound]]
-name = "bridged"
+name = "members agree after the bridged partition"
 what = { together = { from = "14 s", within = "3 s" } }
 
 [[bound]]
-name = "flapped"
+name = "members agree after the restarts"
 what = { together = { from = "22 s", within = "3 s" } }
 
 [[bound]]
-name = "slow"
+name = "members agree after the suspensions"
 what = { together = { from = "28 s", within = "3 s" } }
 "#;
     assert_passed(&run_scenario(32, faults, &NINE_IN_THREE_ZONES));
 }
 
-/// Whatever comes to the sockets of the membership, members stay, no new one appears, calls go on, and the cost is
-/// bounded.
+/// Invalid datagrams flood the sockets of the membership protocol. All members stay in the membership, no unknown member
+/// appears, calls are served, and the CPU time of the membership thread stays below 15% of a core.
 #[test]
 fn floods_of_datagrams_change_no_membership() {
     let _exclusive = run_exclusively();
-    let more = "\n[members]\n\n[[bound]]\nname = \"nobody\"\nwhat = { false-deaths = { most = 0 } }\n\
-        [[bound]]\nname = \"together\"\nwhat = { together = { from = \"9 s\", within = \"2 s\" } }\n";
+    let more = "\n[members]\n\n[[bound]]\nname = \"no false deaths\"\nwhat = { false-deaths = { most = 0 } }\n\
+        [[bound]]\nname = \"members agree\"\nwhat = { together = { from = \"9 s\", within = \"2 s\" } }\n";
     let folder = scenario_folder(12, more);
     let run = run_command(folder.path(), &EIGHT_BALANCERS)
         .spawn()
         .unwrap();
-    let listens = |number: usize| -> Option<SocketAddr> {
+    let listen_address = |number: usize| -> Option<SocketAddr> {
         let run_folder = run_folders(folder.path()).pop()?;
         let text =
             std::fs::read_to_string(run_folder.join(format!("balancer-{number:03}/operator.toml")))
@@ -153,30 +153,30 @@
                 .ok()
         })
     };
-    wait_until("all have their operators' files", || {
-        (0..8).all(|number| listens(number).is_some())
+    wait_until("all operators' files exist", || {
+        (0..8).all(|number| listen_address(number).is_some())
     });
-    let at: Vec<SocketAddr> = (0..8).filter_map(listens).collect();
-    let (socket, began, mut sent) = (
+    let addresses: Vec<SocketAddr> = (0..8).filter_map(listen_address).collect();
+    let (socket, began, mut datagrams_sent) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
         Instant::now(),
         0_u32,
     );
     let mut datagram = [1_u8; 600];
     while began.elapsed() < Duration::from_secs(7) {
-        for to in &at {
-            datagram[1..5].copy_from_slice(&sent.to_be_bytes());
-            socket.send_to(&datagram, to).ok();
-            sent += 1;
+        for address in &addresses {
+            datagram[1..5].copy_from_slice(&datagrams_sent.to_be_bytes());
+            socket.send_to(&datagram, address).ok();
+            datagrams_sent += 1;
         }
         std::thread::sleep(Duration::from_micros(500));
     }
     let result = result(&run.wait_with_output().unwrap());
-    println!("{sent} datagrams");
+    println!("{datagrams_sent} datagrams sent");
     assert_passed(&result);
     let cores = result["members-cores"].as_array().unwrap();
     assert!(
-        cores.len() == 8 && cores.iter().all(|part| part.as_f64().unwrap() < 0.15),
+        cores.len() == 8 && cores.iter().all(|share| share.as_f64().unwrap() < 0.15),
         "{cores:?}"
     );
     assert!(
--- a/crates/cluster-test/tests/processes.rs
+++ b/crates/cluster-test/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Many processes: they start and restart, and none outlives its run.
+//! Start and restart of many processes, which all end with their run.
 
 mod common;
 
@@ -11,15 +11,15 @@
 use std::os::unix::process::ExitStatusExt;
 use std::path::Path;
 
-/// Forty balancers and sixty upstreams; then a zone loses its power and has it again.
+/// Forty balancers and sixty upstreams start; then one of the two zones loses power, and its processes restart.
 #[test]
 fn dozens_of_processes_start_and_restart() {
     let _exclusive = run_exclusively();
-    let loss = "\n[[fault]]\nat = \"1 s\"\nuntil = \"2 s\"\nzone = \"b\"\n\
+    let power_loss = "\n[[fault]]\nat = \"1 s\"\nuntil = \"2 s\"\nzone = \"b\"\n\
         what = { power-loss = { stale = \"1 s\", over = \"500 ms\" } }\n";
     let result = run_scenario(
         5,
-        loss,
+        power_loss,
         &["--set", "tier.0.balancers=40", "--set", "tier.0.nodos=60"],
     );
     assert_passed(&result);
@@ -45,16 +45,16 @@
     );
 }
 
-/// Thirty balancers are killed and start within a second with lists from before a rolling restart, at a discovery
-/// service with a limited rate of reads.
+/// After a rolling restart of upstreams, thirty balancers are killed and start at once with lists from before the rolling
+/// restart, while the discovery service serves a limited rate of reads.
 #[test]
-fn a_thundering_herd_at_a_slow_discovery_is_served() {
+fn slow_discovery_serves_a_thundering_herd() {
     let _exclusive = run_exclusively();
-    let herd = "asked = { reads = 20.0, patience = \"5 s\", within = \"200 ms\" }\n\
+    let faults = "asked = { reads = 20.0, patience = \"5 s\", within = \"200 ms\" }\n\
         [[fault]]\nat = \"500 ms\"\nuntil = \"2 s\"\npart = 0.34\nwhat = \"roll\"\n\
         [[fault]]\nat = \"6 s\"\nuntil = \"6500 ms\"\nwhat = { restart = { stale = \"60 s\" } }\n\
         [[bound]]\nname = \"back\"\nwhat = { back = { from = \"7 s\", part = 0.9, within = \"3 s\" } }\n";
-    let result = run_scenario(10, herd, &["--set", "tier.0.balancers=30"]);
+    let result = run_scenario(10, faults, &["--set", "tier.0.balancers=30"]);
     assert_passed(&result);
     assert_eq!(result["processes"]["starts"], 60);
     assert!(
@@ -64,7 +64,7 @@
     );
 }
 
-/// A process serves, whatever it finds of the files of the former one, and whatever its clock says.
+/// A process serves calls when the files of its previous incarnation are missing or damaged, and when its clock is wrong.
 #[test]
 fn damaged_files_and_wrong_clocks_are_tolerated() {
     let _exclusive = run_exclusively();
@@ -85,7 +85,8 @@
     );
 }
 
-/// Whether a run is terminated or killed, at whatever point: its processes end, and the next run removes what was left.
+/// When a run is terminated or killed, during or after the start of its processes, all its processes end. The `clean`
+/// command removes the run directory of a killed run.
 #[test]
 fn no_process_outlives_its_run() {
     let _exclusive = run_exclusively();
@@ -97,16 +98,16 @@
     ] {
         let folder = scenario_folder(4, "");
         let mut run_process = run_command(folder.path(), &[]).spawn().unwrap();
-        wait_until("the processes start", || {
+        wait_until("the processes are started", || {
             run_folders(folder.path())
                 .first()
                 .is_some_and(|run| recorded_pids(run).len() >= started)
         });
-        let left = run_folders(folder.path()).remove(0);
+        let leftover = run_folders(folder.path()).remove(0);
         kill(Pid::from_raw(run_process.id() as i32), signal).unwrap();
         let ended = run_process.wait().unwrap();
-        let started = recorded_pids(&left);
-        wait_until("the processes end with it", || {
+        let started = recorded_pids(&leftover);
+        wait_until("the processes end with their run", || {
             !started.iter().any(|pid| is_running(*pid))
         });
         if signal == Signal::SIGKILL {
@@ -121,15 +122,16 @@
     }
 }
 
-/// What cannot be played is rejected by its name, and so is a program that does not start, with the end of its log.
+/// Unsupported settings and faults are rejected by name. The error for a program that does not start has the last line of
+/// its log.
 #[test]
-fn invalid_input_is_named() {
-    let assert_rejected = |more: &str, set: &[&str], part: &str| {
+fn invalid_input_is_rejected_by_name() {
+    let assert_rejected = |more: &str, set: &[&str], expected_text: &str| {
         let folder = scenario_folder(4, more);
         let output = run_command(folder.path(), set).output().unwrap();
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            output.status.code() == Some(3) && stderr.contains(part),
+            output.status.code() == Some(3) && stderr.contains(expected_text),
             "{:?}: {stderr}",
             output.status
         );
@@ -147,8 +149,9 @@
         "fault 1: replaced nodos",
     );
     assert_rejected("\n[front]\n", &[], "`front`");
-    let library = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cluster-test");
-    let files = std::fs::read_dir(library)
+    let scenario_directory =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cluster-test");
+    let files = std::fs::read_dir(scenario_directory)
         .unwrap()
         .map(|entry| entry.unwrap().path());
     let files: Vec<String> = files
@@ -165,7 +168,7 @@
         String::from_utf8_lossy(&checked.stderr)
     );
     let folder = scenario_folder(4, "");
-    // A program that takes this for a wrong command line.
+    // This program exits at start-up because it rejects the command line of the balancer.
     let other_program = env!("CARGO_BIN_EXE_woadstall-cluster-test");
     let output = command(
         folder.path(),
--- a/crates/cluster-test/tests/verdicts.rs
+++ b/crates/cluster-test/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts: broken rules and bounds are found, and none where nothing is broken.
+//! Verdicts: violated rules and bounds are detected, and an intact run passes.
 
 mod common;
 
@@ -8,7 +8,8 @@
 
 const ROLL: &str = "\n[[fault]]\nat = \"500 ms\"\nuntil = \"2 s\"\npart = 0.34\nwhat = \"roll\"\n";
 
-/// A rolling restart of a third of the upstreams, with each of four violations on purpose and without any.
+/// A rolling restart of a third of the upstreams, once without a violation and once with each of the four injected
+/// violations. Each violation is detected by its own rule, and no other rule reports it.
 #[test]
 fn each_violation_is_found_by_its_rule_alone() {
     let _exclusive = run_exclusively();
@@ -25,7 +26,7 @@
         "{}",
         intact["served"]
     );
-    // A flood matters where nodos are cold, and takes three seconds to push one over.
+    // A flood violates its rule only if upstreams are cold, and takes three seconds to overload an upstream.
     for (kind, rule, seconds, set) in [
         ("swallow", "one-answer", 2, "tier.0.cold=false"),
         ("repeat", "no-effect-twice", 2, "tier.0.cold=false"),
@@ -46,7 +47,7 @@
         let others = ["one-answer", "no-effect-twice", "drained", "cold"]
             .into_iter()
             .filter(|other| *other != rule);
-        // What a flood pushes over answers nothing for a while, which is not a rule of its own.
+        // An upstream that a flood has overloaded does not respond for a while, which violates no other rule.
         others.for_each(|other| {
             assert_eq!(
                 breaches(&result, other),
@@ -58,8 +59,8 @@
     }
 }
 
-/// Balancers that are suspended amid their calls: calls in flight in them are late and excused, and calls to the others
-/// are served.
+/// Half of the balancers are suspended while calls are in flight. Late calls at suspended balancers do not violate a
+/// rule, and calls to the other balancers are served.
 #[test]
 fn calls_at_a_suspended_balancer_are_excused() {
     let _exclusive = run_exclusively();
@@ -72,7 +73,7 @@
     );
     assert!(
         overdue_at_suspended > 0 && unanswered <= overdue_at_suspended,
-        "{unanswered} lost, {overdue_at_suspended} since their balancer stood still"
+        "{unanswered} calls without a response, {overdue_at_suspended} overdue at suspended balancers"
     );
     let counts = &result["counts"];
     assert!(
@@ -81,7 +82,7 @@
     );
 }
 
-/// The same seed twice: the same calls, the same faults at the same points, the same verdict.
+/// Two runs with the same seed have the same calls, the same faults at the same times, and the same verdict.
 #[test]
 fn a_seed_reproduces_a_run() {
     let _exclusive = run_exclusively();
@@ -96,7 +97,7 @@
         assert_passed(result);
         assert_eq!(
             result["processes"]["starts"], 6,
-            "two of four started again"
+            "two of four balancers restarted"
         );
         assert_eq!(result["bounds"][0]["name"], "back");
     }
@@ -118,16 +119,17 @@
     assert_eq!(running_by_step(&first)[..4], running_by_step(&second)[..4]);
 }
 
-/// Time limit of a call in the test of bounds, in milliseconds. Logs are read at whole seconds: calls time out between two
-/// of them, not at one.
+/// Deadline of a call in the test of bounds, in milliseconds. Logs are read at whole seconds, so the deadline is chosen
+/// such that calls time out between two reads rather than at a read.
 const CALL_TIMEOUT_MS: u64 = 1_500;
-/// Most failures in a row that trip a breaker (`MAX_FAILURES_TO_TRIP` of the decisions).
+/// Maximum number of consecutive failures that trip a circuit breaker (`MAX_FAILURES_TO_TRIP` of the decisions).
 const MAX_FAILURES_TO_TRIP: u64 = 6;
-/// How long a balancer has to report that it leaves its zone, and how long the run takes: where no failed call was in
-/// flight together with another, each fails a time limit after the one before, and the log is read up to a second later.
+/// Time limit for a balancer to report that it leaves its zone, in milliseconds; also the duration of the run. In the
+/// worst case no two failing calls overlap, so each call fails one deadline after the previous one, and the log is read up
+/// to a second later.
 const REPORT_WITHIN_MS: u64 = MAX_FAILURES_TO_TRIP * CALL_TIMEOUT_MS + 1_000;
 
-/// A bound that does not hold is reported, and decides the verdict.
+/// A violated bound is reported and fails the run.
 #[test]
 fn a_broken_bound_fails_the_run() {
     let _exclusive = run_exclusively();
@@ -154,7 +156,7 @@
     assert_eq!(result["bounds"][0]["seen"], 0.0);
     assert_eq!(
         result["bounds"][1]["kept"], true,
-        "a balancer says that it leaves its zone: {}",
+        "a balancer reports that it leaves its zone: {}",
         result["bounds"]
     );
     let rules = result["breaches"].as_object().unwrap();
