--- a/crates/cluster-test/src/balancer.rs
+++ b/crates/cluster-test/src/balancer.rs
@@ -231,7 +231,7 @@
     }
 
     /// Returns the number of starts of the process.
-    pub fn starts(&self) -> u32 {
+    pub fn start_count(&self) -> u32 {
         self.starts.load(Ordering::Relaxed)
     }
 }
--- a/crates/cluster-test/src/commands.rs
+++ b/crates/cluster-test/src/commands.rs
@@ -56,7 +56,7 @@
     let leftovers = remove_leftovers(&std::env::temp_dir())?;
     for leftover in &leftovers {
         warn!(
-            folder = %leftover.folder.display(),
+            folder = %leftover.directory.display(),
             killed = leftover.processes.len(),
             "removed leftover directory and processes of an earlier run"
         );
--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -14,9 +14,9 @@
 use woadstall_emulator_cli::report::{self, FaultBand};
 use woadstall_emulator_cli::rows::Row;
 
-const FAILED: u8 = 1;
-const TOO_SLOW: u8 = 4;
-const INTERRUPTED: u8 = 130;
+const EXIT_FAILED: u8 = 1;
+const EXIT_TOO_SLOW: u8 = 4;
+const EXIT_INTERRUPTED: u8 = 130;
 /// Policy name in the result rows of cluster runs; the emulator's rows name one of its policies there.
 const ROW_POLICY: &str = "rig";
 
@@ -31,10 +31,10 @@
         eprintln!();
     }
     let result = match outcome {
-        None => return Ok(INTERRUPTED),
+        None => return Ok(EXIT_INTERRUPTED),
         Some(Err(RunError::TooSlow { startup_time })) => {
             warn_too_slow(&RunError::TooSlow { startup_time }.to_string());
-            return Ok(TOO_SLOW);
+            return Ok(EXIT_TOO_SLOW);
         }
         Some(result) => result?,
     };
@@ -125,9 +125,9 @@
 fn exit_code(result: &ClusterResult) -> u8 {
     if let Some(reason) = result.too_slow() {
         warn_too_slow(&reason);
-        return TOO_SLOW;
+        return EXIT_TOO_SLOW;
     }
-    if result.is_passed() { 0 } else { FAILED }
+    if result.is_passed() { 0 } else { EXIT_FAILED }
 }
 
 fn warn_too_slow(reason: &str) {
--- a/crates/cluster-test/src/discovery.rs
+++ b/crates/cluster-test/src/discovery.rs
@@ -46,6 +46,7 @@
 /// Queue of reads at a central discovery service, which serves all agents at a limited rate.
 pub struct ReadQueue {
     service: RegistryQueries,
+    /// Time at which the service will have processed all queued reads.
     idle_at: Mutex<Instant>,
 }
 
@@ -62,7 +63,7 @@
     }
 
     /// Queues one read and waits until the service has processed it.
-    async fn wait(&self) -> Result<(), QueueFull> {
+    async fn wait_for_processing(&self) -> Result<(), QueueFull> {
         let done = {
             let mut idle_at = lock(&self.idle_at);
             let begins = (*idle_at).max(Instant::now());
@@ -164,7 +165,7 @@
     }
 
     /// Returns the number of reads received, including watches that found no newer list.
-    pub fn reads(&self) -> u64 {
+    pub fn read_count(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
@@ -204,7 +205,7 @@
             .and_then(|wait| wait.parse().ok())
             .map_or(Duration::ZERO, Duration::from_millis);
         if let (Some(queue), None) = (self.queue, after)
-            && queue.wait().await.is_err()
+            && queue.wait_for_processing().await.is_err()
         {
             return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -122,15 +122,16 @@
         match &fault.kind {
             FaultKind::Kill { .. } => self.kill_until_end(&fault, index, &targets).await,
             FaultKind::PowerLoss { stale, over, files } => {
-                let settings = power_loss::Settings {
+                let settings = power_loss::PowerLossSettings {
                     staleness: Duration::from_nanos(stale.0),
                     boot_window: Duration::from_nanos(over.0),
                     files: *files,
                 };
-                self.lose_power(&fault, index, &targets, settings).await
+                self.apply_power_loss(&fault, index, &targets, settings)
+                    .await
             }
-            FaultKind::Roll => self.roll_upstreams(&fault, &targets).await,
-            FaultKind::RollBalancers => self.roll_balancers(&fault, &targets).await,
+            FaultKind::Roll => self.rolling_restart_upstreams(&fault, &targets).await,
+            FaultKind::RollBalancers => self.rolling_restart_balancers(&fault, &targets).await,
             FaultKind::Restart { stale, files } => {
                 let staleness = Duration::from_nanos(stale.0);
                 self.kill_and_start_balancers(&fault, &targets, staleness, *files)
@@ -189,7 +190,7 @@
         for &upstream in &targets.upstreams {
             self.kill_upstream(upstream);
         }
-        self.unlist_until_end(fault, index, targets).await;
+        self.mark_gone_until_end(fault, index, targets).await;
         for &upstream in &targets.upstreams {
             self.restart_upstream(upstream).await?;
         }
@@ -198,7 +199,7 @@
 
     /// Sets the listed state of killed upstreams to `GONE` after discovery's detection delay, then waits for the end of
     /// the fault.
-    async fn unlist_until_end(&self, fault: &Fault, index: usize, targets: &FaultTargets) {
+    async fn mark_gone_until_end(&self, fault: &Fault, index: usize, targets: &FaultTargets) {
         self.schedule.fault_noticed(fault).await;
         for &upstream in &targets.upstreams {
             self.set_listed_state(upstream, GONE);
--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -8,7 +8,7 @@
 use woadstall_emulator::{Fault, StoredFiles};
 
 /// Parameters of a power loss.
-pub struct Settings {
+pub struct PowerLossSettings {
     /// Age of the endpoint lists that balancers restart with.
     pub staleness: Duration,
     /// Time span over which upstreams restart one after the other.
@@ -18,12 +18,12 @@
 }
 
 impl Fleet {
-    pub(super) async fn lose_power(
+    pub(super) async fn apply_power_loss(
         &self,
         fault: &Fault,
         index: usize,
         targets: &FaultTargets,
-        settings: Settings,
+        settings: PowerLossSettings,
     ) -> Result<(), ClusterError> {
         // All kill signals are sent first, without slow work in between, so that the processes fail at one instant.
         for &balancer in &targets.balancers {
@@ -34,7 +34,7 @@
         }
         self.set_powered(targets, false);
         self.damage_files(&targets.balancers, settings.files)?;
-        self.unlist_until_end(fault, index, targets).await;
+        self.mark_gone_until_end(fault, index, targets).await;
         self.set_powered(targets, true);
         let is_not_sidecar = |number: &u32| {
             let balancer = &self.balancers[*number as usize];
--- a/crates/cluster-test/src/faults/rolling.rs
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -16,7 +16,7 @@
 
 impl Fleet {
     /// Drains and restarts upstreams at evenly spaced times within the first half of the fault.
-    pub(super) async fn roll_upstreams(
+    pub(super) async fn rolling_restart_upstreams(
         self: &Arc<Self>,
         fault: &Fault,
         targets: &FaultTargets,
@@ -39,7 +39,7 @@
     }
 
     /// Shuts down and restarts balancers at evenly spaced times during the fault.
-    pub(super) async fn roll_balancers(
+    pub(super) async fn rolling_restart_balancers(
         self: &Arc<Self>,
         fault: &Fault,
         targets: &FaultTargets,
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -6,7 +6,7 @@
 use crate::error::ClusterError;
 use crate::links;
 use crate::membership::Membership;
-use crate::ports::{Port, balancer_address, free_port};
+use crate::ports::{PortPurpose, balancer_address, free_port};
 use crate::process::Process;
 use crate::rule_violation::{RuleViolation, ViolatingProxy};
 use crate::run_directory::RunDirectory;
@@ -178,7 +178,7 @@
             .await?;
         let process = Process::new(&self.run_directory, format!("balancer-{number:03}"))?;
         let admin = match self.scenario.members {
-            Some(_) => Some(free_port(listen.ip(), Port::Operators).await?),
+            Some(_) => Some(free_port(listen.ip(), PortPurpose::Operators).await?),
             None => None,
         };
         let placement = BalancerPlacement {
--- a/crates/cluster-test/src/leftovers.rs
+++ b/crates/cluster-test/src/leftovers.rs
@@ -2,7 +2,7 @@
 //! be running.
 
 use crate::procfs;
-use crate::run_directory::{FOLDER_PREFIX, LOCK_FILE, PROCESSES_FILE};
+use crate::run_directory::{DIRECTORY_PREFIX, LOCK_FILE, PROCESSES_FILE};
 use nix::errno::Errno;
 use nix::fcntl::{Flock, FlockArg};
 use nix::sys::signal::{Signal, kill};
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leftover {
     /// Path of the run's directory, which has been removed.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// Processes of the run that were still running and have been killed.
     pub processes: Vec<LeftoverProcess>,
 }
@@ -29,7 +29,7 @@
     pub name: String,
 }
 
-/// Kills leftover processes and removes leftover directories of earlier runs below a directory for temporary files.
+/// Kills leftover processes and removes leftover directories of earlier runs in a directory for temporary files.
 /// Active runs hold a lock on their directory and are skipped. A process that has merely reused the identifier of a
 /// recorded process is not killed: its start time differs.
 ///
@@ -39,31 +39,34 @@
 pub fn remove_leftovers(temporary_directory: &Path) -> io::Result<Vec<Leftover>> {
     let mut leftovers = Vec::new();
     for entry in std::fs::read_dir(temporary_directory)? {
-        let folder = entry?.path();
-        if !is_run_directory(&folder) {
+        let directory = entry?.path();
+        if !is_run_directory(&directory) {
             continue;
         }
-        let Ok(file) = File::open(folder.join(LOCK_FILE)) else {
+        let Ok(file) = File::open(directory.join(LOCK_FILE)) else {
             continue;
         };
         let Ok(_lock) = Flock::lock(file, FlockArg::LockExclusiveNonblock) else {
             continue;
         };
-        let processes = kill_processes(&folder);
-        std::fs::remove_dir_all(&folder)?;
-        leftovers.push(Leftover { folder, processes });
+        let processes = kill_processes(&directory);
+        std::fs::remove_dir_all(&directory)?;
+        leftovers.push(Leftover {
+            directory,
+            processes,
+        });
     }
     Ok(leftovers)
 }
 
-fn is_run_directory(folder: &Path) -> bool {
-    let name = folder.file_name().and_then(|name| name.to_str());
-    name.is_some_and(|name| name.starts_with(FOLDER_PREFIX))
+fn is_run_directory(directory: &Path) -> bool {
+    let name = directory.file_name().and_then(|name| name.to_str());
+    name.is_some_and(|name| name.starts_with(DIRECTORY_PREFIX))
 }
 
 /// Kills the processes of a run that are still running, and returns them.
-fn kill_processes(folder: &Path) -> Vec<LeftoverProcess> {
-    let processes = std::fs::read_to_string(folder.join(PROCESSES_FILE)).unwrap_or_default();
+fn kill_processes(directory: &Path) -> Vec<LeftoverProcess> {
+    let processes = std::fs::read_to_string(directory.join(PROCESSES_FILE)).unwrap_or_default();
     processes
         .lines()
         .filter_map(parse_process)
--- a/crates/cluster-test/src/lib.rs
+++ b/crates/cluster-test/src/lib.rs
@@ -2,8 +2,8 @@
 //! into the processes and the links between them.
 //!
 //! Each balancer is a process of the shipped binary. Callers, upstreams and discovery are simulated inside the test
-//! process. All connections go through `woadstall-fault-proxy`. `docs/cluster-test.md` describes the designs that were
-//! considered and the limits of this test harness.
+//! process. All connections except calls to sidecars go through `woadstall-fault-proxy`. `docs/cluster-test.md`
+//! describes the designs that were considered and the limits of this test harness.
 //!
 //! - [`run()`] executes a scenario and returns a [`ClusterResult`]; [`results`] formats the result and compares it with
 //!   the emulator's result.
--- a/crates/cluster-test/src/main.rs
+++ b/crates/cluster-test/src/main.rs
@@ -17,7 +17,7 @@
 use tracing::error;
 
 /// Exit code for an invalid file, scenario or program.
-const INVALID_INPUT: u8 = 3;
+const EXIT_INVALID_INPUT: u8 = 3;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
@@ -26,7 +26,7 @@
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             error!("{error}");
-            ExitCode::from(INVALID_INPUT)
+            ExitCode::from(EXIT_INVALID_INPUT)
         }
     }
 }
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -8,7 +8,7 @@
 
 use crate::balancer::Balancer;
 use crate::links;
-use crate::ports::{Port, free_port};
+use crate::ports::{PortPurpose, free_port};
 use rand::RngExt;
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -86,7 +86,7 @@
         let mut addresses = Vec::new();
         for balancer in balancers {
             let ip = balancer.placement.listen.ip();
-            let listen = free_port(ip, Port::Members).await?;
+            let listen = free_port(ip, PortPurpose::Members).await?;
             let node = links::member_node(balancer.placement.number);
             network.assign_address(node, ip);
             let advertised = network.proxy_shared(node, listen).await?;
--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -92,7 +92,7 @@
 
     /// Returns, for each running process, the share of a core that its membership thread has used since the process
     /// started.
-    pub fn cores(&self, balancers: &[Arc<Balancer>]) -> Vec<f64> {
+    pub fn core_shares(&self, balancers: &[Arc<Balancer>]) -> Vec<f64> {
         let views = lock(&self.views);
         let share = |(balancer, member): (&Arc<Balancer>, &ReportedState)| {
             let run_ns = balancer.process.thread_run_ns(MEMBERSHIP_THREAD)?;
--- a/crates/cluster-test/src/membership/settings.rs
+++ b/crates/cluster-test/src/membership/settings.rs
@@ -8,7 +8,7 @@
 use woadstall_emulator::{MembershipConfig, Scenario, Span};
 
 /// Number of seed members that a new member can join through.
-const SEEDS: usize = 3;
+const MAX_SEED_MEMBERS: usize = 3;
 
 impl Membership {
     /// Writes the key file and the operators' file for the next process of a balancer.
@@ -22,9 +22,9 @@
         };
         let mut text = self.instances_section(scenario, members, balancer);
         text += &evacuation_section(scenario);
-        let folder = &balancer.process.folder;
-        std::fs::write(folder.join(KEY_FILE), format!("{}\n", self.key))?;
-        std::fs::write(folder.join(OPERATOR_FILE), text)
+        let directory = &balancer.process.directory;
+        std::fs::write(directory.join(KEY_FILE), format!("{}\n", self.key))?;
+        std::fs::write(directory.join(OPERATOR_FILE), text)
     }
 
     fn instances_section(
@@ -37,7 +37,7 @@
         let seeds: Vec<String> = self
             .addresses
             .iter()
-            .take(SEEDS)
+            .take(MAX_SEED_MEMBERS)
             .filter(|seed| seed.advertised != address.advertised)
             .map(|seed| format!("{:?}", seed.advertised.to_string()))
             .collect();
--- a/crates/cluster-test/src/membership/tests.rs
+++ b/crates/cluster-test/src/membership/tests.rs
@@ -7,7 +7,7 @@
 
 /// Iterations of each thread. With two mutexes locked in opposite orders, a deadlock occurs within a few hundred
 /// iterations.
-const ROUNDS: usize = 20_000;
+const ITERATIONS: usize = 20_000;
 /// Time limit for all iterations, far longer than they take.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -37,7 +37,7 @@
     for operation in operations {
         let (membership, ended) = (membership.clone(), ended.clone());
         spawn(move || {
-            (0..ROUNDS).for_each(|round| operation(&membership, round));
+            (0..ITERATIONS).for_each(|round| operation(&membership, round));
             ended.send(()).ok();
         });
     }
--- a/crates/cluster-test/src/ports.rs
+++ b/crates/cluster-test/src/ports.rs
@@ -4,11 +4,11 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::net::TcpListener;
 
-/// Purpose of a balancer's port. The value is the lower end of the range of [`CANDIDATES`] ports to try. The ranges lie
-/// below the ephemeral ports of the system, since an outgoing connection could take an ephemeral port while the
+/// Purpose of a balancer's port. The value is the lower end of the range of [`CANDIDATE_PORTS`] ports to try. The ranges
+/// lie below the ephemeral ports of the system, since an outgoing connection could take an ephemeral port while the
 /// balancer's process is stopped.
 #[derive(Clone, Copy, Debug)]
-pub enum Port {
+pub enum PortPurpose {
     /// Requests of callers.
     Calls = 20_000,
     /// The operators' interface.
@@ -18,7 +18,7 @@
 }
 
 /// Number of ports to try for each purpose.
-const CANDIDATES: u16 = 1_000;
+const CANDIDATE_PORTS: u16 = 1_000;
 
 /// Returns a free listen address for the requests of a balancer. Each balancer has its own loopback IP address.
 ///
@@ -31,7 +31,7 @@
     // balancer binds it.
     let run = 80 + (std::process::id() % 170) as u8;
     let ip = Ipv4Addr::new(127, run, high, low.wrapping_add(1));
-    free_port(IpAddr::V4(ip), Port::Calls).await
+    free_port(IpAddr::V4(ip), PortPurpose::Calls).await
 }
 
 /// Returns an address with a free port at an IP address.
@@ -39,9 +39,9 @@
 /// # Errors
 ///
 /// If no port is free, or the address cannot be bound for another reason.
-pub async fn free_port(ip: IpAddr, port: Port) -> io::Result<SocketAddr> {
-    let first = port as u16 + (std::process::id() % u32::from(CANDIDATES)) as u16;
-    for candidate in first..first + CANDIDATES {
+pub async fn free_port(ip: IpAddr, port: PortPurpose) -> io::Result<SocketAddr> {
+    let first = port as u16 + (std::process::id() % u32::from(CANDIDATE_PORTS)) as u16;
+    for candidate in first..first + CANDIDATE_PORTS {
         match TcpListener::bind((ip, candidate)).await {
             Ok(listener) => return listener.local_addr(),
             Err(error) if error.kind() != io::ErrorKind::AddrInUse => return Err(error),
--- a/crates/cluster-test/src/process.rs
+++ b/crates/cluster-test/src/process.rs
@@ -26,7 +26,7 @@
     /// Name of the process, as in `balancer-003`; unique within the run.
     pub name: String,
     /// Directory of the process, below the run directory.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     child: Mutex<Option<Child>>,
 }
 
@@ -37,28 +37,28 @@
     ///
     /// If the directory cannot be created.
     pub fn new(run_directory: &RunDirectory, name: String) -> io::Result<Self> {
-        let folder = run_directory.path().join(&name);
-        std::fs::create_dir(&folder)?;
+        let directory = run_directory.path().join(&name);
+        std::fs::create_dir(&directory)?;
         Ok(Self {
             name,
-            folder,
+            directory,
             child: Mutex::default(),
         })
     }
 
     /// Returns the path of the configuration file.
     pub fn config(&self) -> PathBuf {
-        self.folder.join("config.json")
+        self.directory.join("config.json")
     }
 
     /// Returns the path of the operators' file, if the file exists.
     fn operator_config(&self) -> Option<PathBuf> {
-        Some(self.folder.join(OPERATOR_FILE)).filter(|path| path.is_file())
+        Some(self.directory.join(OPERATOR_FILE)).filter(|path| path.is_file())
     }
 
     /// Returns the path of the log file, which receives the standard error of the process.
     pub fn log(&self) -> PathBuf {
-        self.folder.join("log")
+        self.directory.join("log")
     }
 
     /// Starts the process, unless it is running.
@@ -74,7 +74,7 @@
         let operator_config = self.operator_config();
         let request = SpawnRequest {
             name: &self.name,
-            folder: &self.folder,
+            directory: &self.directory,
             log: &log,
             config: &config,
             operator_config: operator_config.as_deref(),
--- a/crates/cluster-test/src/process/own_files.rs
+++ b/crates/cluster-test/src/process/own_files.rs
@@ -8,17 +8,18 @@
 impl Process {
     /// Returns all files in the directory of the process except its inputs and its log.
     fn own_files(&self) -> io::Result<Vec<PathBuf>> {
-        let entries = std::fs::read_dir(&self.folder)?.map(|entry| Ok(entry?.path()));
+        let entries = std::fs::read_dir(&self.directory)?.map(|entry| Ok(entry?.path()));
         let entries = entries.collect::<io::Result<Vec<PathBuf>>>()?;
-        let inputs = MEMBERSHIP_FILES.map(|name| self.folder.join(name));
+        let inputs = MEMBERSHIP_FILES.map(|name| self.directory.join(name));
         let is_own = |path: &PathBuf| {
             *path != self.config() && *path != self.log() && !inputs.contains(path)
         };
         Ok(entries.into_iter().filter(is_own).collect())
     }
 
-    /// Damages the files that the next incarnation of the process finds. Files of another balancer are taken from
-    /// `donor`. Sockets are treated like files: a regular file or a link of the same name replaces the socket.
+    /// Damages the files that the next incarnation of the process finds. With
+    /// [`StoredFiles::OtherBalancer`], links to files of `donor` replace the files. Sockets are treated like files: a
+    /// regular file or a link of the same name replaces the socket.
     ///
     /// # Errors
     ///
--- a/crates/cluster-test/src/procfs.rs
+++ b/crates/cluster-test/src/procfs.rs
@@ -4,7 +4,7 @@
 use std::fs::read_to_string;
 
 /// Index of the start time among the fields of `/proc/PID/stat` that follow the process name.
-const START_TIME_FIELD: usize = 19;
+const START_TIME_FIELD_INDEX: usize = 19;
 
 /// Returns the start time of a process in clock ticks since boot. The start time distinguishes the process from a later
 /// process with the same identifier.
@@ -14,7 +14,7 @@
     let (_, fields) = stat.rsplit_once(')')?;
     fields
         .split_whitespace()
-        .nth(START_TIME_FIELD)?
+        .nth(START_TIME_FIELD_INDEX)?
         .parse()
         .ok()
 }
--- a/crates/cluster-test/src/results.rs
+++ b/crates/cluster-test/src/results.rs
@@ -56,7 +56,7 @@
     /// Counters of each upstream.
     pub upstreams: Vec<UpstreamCounts>,
     /// Share of a core used by the membership thread of each running balancer; empty without membership.
-    pub membership_cores: Vec<f64>,
+    pub membership_core_shares: Vec<f64>,
     /// Directory with the logs of the processes; `None` if it was removed.
     pub log_directory: Option<PathBuf>,
 }
--- a/crates/cluster-test/src/results/json.rs
+++ b/crates/cluster-test/src/results/json.rs
@@ -46,7 +46,7 @@
         },
         "members": run_result.members,
         "evacuated": run_result.evacuation,
-        "members-cores": result.membership_cores,
+        "members-cores": result.membership_core_shares,
         "lag": {"calls": result.lag, "own": result.late_timer_share, "starved": result.max_core_wait_share},
         "steps": run_result.timeline,
     })
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -22,7 +22,7 @@
     write_calls(out, result)?;
     write_processes(out, result)?;
     if let Some(members) = &run_result.members {
-        write_members(out, members, &result.membership_cores)?;
+        write_members(out, members, &result.membership_core_shares)?;
     }
     if let Some(evacuated) = &run_result.evacuation {
         write_evacuations(out, evacuated)?;
--- a/crates/cluster-test/src/run.rs
+++ b/crates/cluster-test/src/run.rs
@@ -90,7 +90,7 @@
         Arc::new(callers),
         options.show_progress,
     ));
-    let usage = play(&observer).await;
+    let usage = run_callers_and_faults(&observer).await;
     let mut result = collect(&observer, usage, startup_time);
     if options.keep_logs || !result.is_passed() {
         run_directory.preserve();
@@ -104,11 +104,11 @@
     /// Share of the run that a balancer was ready to run but waited for a core; the largest share of all balancers.
     max_core_wait_share: f64,
     /// Share of a core used by the membership thread of each running balancer.
-    membership_cores: Vec<f64>,
+    membership_core_shares: Vec<f64>,
 }
 
 /// Runs callers, faults and measurements until the end of the scenario.
-async fn play(observer: &Arc<Observer>) -> ProcessUsage {
+async fn run_callers_and_faults(observer: &Arc<Observer>) -> ProcessUsage {
     let (fleet, callers) = (&observer.fleet, &observer.callers);
     let start = fleet.schedule.start;
     // Dropping the `JoinSet` aborts the tasks on every exit path.
@@ -134,13 +134,13 @@
         .iter()
         .filter_map(|balancer| balancer.process.run_queue_wait_ns());
     let longest_wait_ns = waits.max().unwrap_or(0);
-    let membership_cores = match &fleet.membership {
-        Some(membership) => membership.cores(&fleet.balancers),
+    let membership_core_shares = match &fleet.membership {
+        Some(membership) => membership.core_shares(&fleet.balancers),
         None => Vec::new(),
     };
     ProcessUsage {
         max_core_wait_share: longest_wait_ns as f64 / length.as_nanos() as f64,
-        membership_cores,
+        membership_core_shares,
     }
 }
 
@@ -156,7 +156,10 @@
         max_core_wait_share: usage.max_core_wait_share,
         startup_time,
         balancer_count: fleet.balancers.len() as u32,
-        process_starts: balancers.clone().map(|balancer| balancer.starts()).sum(),
+        process_starts: balancers
+            .clone()
+            .map(|balancer| balancer.start_count())
+            .sum(),
         failures: observer.take_failures(),
         peak_memory_kb: balancers
             .clone()
@@ -165,14 +168,14 @@
         unanswered_requests: rules.unanswered(),
         requests_executed_twice: rules.ran_twice(),
         overdue_requests_at_suspended: rules.overdue_at_suspended(),
-        list_reads: balancers.map(|balancer| balancer.agent.reads()).sum(),
+        list_reads: balancers.map(|balancer| balancer.agent.read_count()).sum(),
         traffic: fleet.network.counts(),
         upstreams: fleet
             .upstreams
             .iter()
             .map(|upstream| upstream.counts())
             .collect(),
-        membership_cores: usage.membership_cores,
+        membership_core_shares: usage.membership_core_shares,
         log_directory: None,
     }
 }
--- a/crates/cluster-test/src/run_directory.rs
+++ b/crates/cluster-test/src/run_directory.rs
@@ -16,7 +16,7 @@
 use woadstall_load_test::lock;
 
 /// Prefix of the names of run directories.
-pub const FOLDER_PREFIX: &str = "woadstall-rig-";
+pub const DIRECTORY_PREFIX: &str = "woadstall-rig-";
 /// Name of the file that a run keeps locked until it ends.
 pub const LOCK_FILE: &str = "lock";
 /// Name of the process file. Each line has the process identifier, the start time in clock ticks since boot, and the
@@ -34,7 +34,7 @@
     program: PathBuf,
     limits: ProcessLimits,
     path: PathBuf,
-    folder: Mutex<TempDir>,
+    directory: Mutex<TempDir>,
 }
 
 /// Parameters for spawning a process.
@@ -42,7 +42,7 @@
     /// Name of the process in the process file.
     pub name: &'a str,
     /// Working directory, also used for temporary files.
-    pub folder: &'a Path,
+    pub directory: &'a Path,
     /// Path of the file that standard error is appended to.
     pub log: &'a Path,
     /// Path of the configuration file.
@@ -59,11 +59,13 @@
     ///
     /// If the directory, its files or the spawner thread cannot be created.
     pub fn new(launcher: &Path, program: &Path, limits: ProcessLimits) -> io::Result<Self> {
-        let folder = tempfile::Builder::new().prefix(FOLDER_PREFIX).tempdir()?;
-        let file = File::create(folder.path().join(LOCK_FILE))?;
+        let directory = tempfile::Builder::new()
+            .prefix(DIRECTORY_PREFIX)
+            .tempdir()?;
+        let file = File::create(directory.path().join(LOCK_FILE))?;
         let lock =
             Flock::lock(file, FlockArg::LockExclusiveNonblock).map_err(|(_, error)| error)?;
-        let processes = Mutex::new(File::create(folder.path().join(PROCESSES_FILE))?);
+        let processes = Mutex::new(File::create(directory.path().join(PROCESSES_FILE))?);
         Ok(Self {
             spawner: Spawner::start()?,
             _lock: lock,
@@ -71,8 +73,8 @@
             launcher: launcher.to_owned(),
             program: program.to_owned(),
             limits,
-            path: folder.path().to_owned(),
-            folder: Mutex::new(folder),
+            path: directory.path().to_owned(),
+            directory: Mutex::new(directory),
         })
     }
 
@@ -83,7 +85,7 @@
 
     /// Keeps the directory with its logs after the end of the run.
     pub fn preserve(&self) {
-        lock(&self.folder).disable_cleanup(true);
+        lock(&self.directory).disable_cleanup(true);
     }
 
     /// Spawns a process and records it in the process file.
@@ -105,9 +107,9 @@
             .arg(&self.program)
             .env_clear()
             .env("LB_CONFIG", request.config)
-            .env("TMPDIR", request.folder)
+            .env("TMPDIR", request.directory)
             .envs(request.operator_config.map(|path| ("LB_OPERATOR", path)))
-            .current_dir(request.folder)
+            .current_dir(request.directory)
             // In its own process group, the child does not receive a keyboard interrupt before this process handles it.
             .process_group(0)
             .stdin(Stdio::null())
--- a/crates/cluster-test/src/supported.rs
+++ b/crates/cluster-test/src/supported.rs
@@ -3,7 +3,8 @@
 
 use woadstall_emulator::{Connections, FaultKind, Scenario, Tier};
 
-/// The limits on processes and pairs keep the proxies and processes within the file descriptors of one machine.
+/// Maximum number of balancers. The limits on balancers, upstreams and pairs keep the proxies and processes within the
+/// file descriptors of one machine.
 const MAX_BALANCERS: u64 = 100;
 const MAX_UPSTREAMS: u64 = 1_000;
 const MAX_PAIRS: u64 = 8_000;
--- a/crates/fault-proxy/src/schedule.rs
+++ b/crates/fault-proxy/src/schedule.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn draw(rng: &mut impl Rng, probability: f64) -> bool {
+fn draw_event(rng: &mut impl Rng, probability: f64) -> bool {
     probability > 0.0 && rng.random::<f64>() < probability
 }
 
@@ -66,7 +66,7 @@
         let sent_ns = self
             .transmitter
             .transmit(now_ns, bytes, conditions.bytes_per_second);
-        let is_lost = draw(rng, conditions.loss);
+        let is_lost = draw_event(rng, conditions.loss);
         let retransmission_ns = if is_lost { RETRANSMISSION_NS } else { 0 };
         let delivery_ns = sent_ns
             .saturating_add(conditions.draw_latency_ns(rng))
@@ -83,7 +83,7 @@
     inbound: &LinkConditions,
     rng: &mut impl Rng,
 ) -> u64 {
-    let is_lost = draw(rng, outbound.loss) || draw(rng, inbound.loss);
+    let is_lost = draw_event(rng, outbound.loss) || draw_event(rng, inbound.loss);
     let retransmission_ns = if is_lost {
         HANDSHAKE_RETRANSMISSION_NS
     } else {
@@ -110,9 +110,9 @@
     ) -> [Option<u64>; 2] {
         // Every datagram consumes the same number of random draws, so that enabling one fault does
         // not change which datagrams another fault affects.
-        let is_lost = draw(rng, conditions.loss);
-        let is_duplicated = draw(rng, conditions.duplication);
-        let is_reordered = draw(rng, conditions.reordering);
+        let is_lost = draw_event(rng, conditions.loss);
+        let is_duplicated = draw_event(rng, conditions.duplication);
+        let is_reordered = draw_event(rng, conditions.reordering);
         let first_latency_ns = conditions.draw_latency_ns(rng);
         let second_latency_ns = conditions.draw_latency_ns(rng);
         if conditions.partitioned || is_lost {
--- a/crates/fault-proxy/src/shared.rs
+++ b/crates/fault-proxy/src/shared.rs
@@ -69,7 +69,7 @@
                 // A stream from an unassigned source address does not belong to the test.
                 let Some(from) = state.sender(peer.ip()) else { continue };
                 let pair = StreamPair::new(state.clone(), from, to, target);
-                streams.spawn(pair.forward_once_healed(stream));
+                streams.spawn(pair.forward_after_partition(stream));
             }
             changed = running.changed() => if changed.is_err() { return },
             Some(_) = streams.join_next() => {}
@@ -96,7 +96,7 @@
     loop {
         let received = tokio::select! {
             received = socket.recv_from(&mut buffer) => received,
-            () = forwarder.delivered() => continue,
+            () = forwarder.wait_for_delivery() => continue,
         };
         let Ok((length, peer)) = received else {
             continue;
--- a/crates/fault-proxy/src/tcp/pair.rs
+++ b/crates/fault-proxy/src/tcp/pair.rs
@@ -97,15 +97,18 @@
     }
 
     /// Forwards a stream from a shared listener once neither link is partitioned.
-    pub(crate) async fn forward_once_healed(mut self, client: TcpStream) {
-        let healed = async {
+    pub(crate) async fn forward_after_partition(mut self, client: TcpStream) {
+        let partition_ended = async {
             while self.is_partitioned() {
                 if !self.link_changed().await {
                     return;
                 }
             }
         };
-        if timeout(PARTITIONED_STREAM_TIMEOUT, healed).await.is_ok() {
+        if timeout(PARTITIONED_STREAM_TIMEOUT, partition_ended)
+            .await
+            .is_ok()
+        {
             self.forward(client).await;
         }
     }
--- a/crates/fault-proxy/src/udp.rs
+++ b/crates/fault-proxy/src/udp.rs
@@ -60,7 +60,7 @@
     loop {
         let received = tokio::select! {
             received = input.recv_from(&mut buffer) => received,
-            () = forwarder.delivered() => continue,
+            () = forwarder.wait_for_delivery() => continue,
         };
         // A receive error reports that an earlier datagram was not delivered. Datagrams from
         // unknown senders are ignored.
@@ -99,7 +99,7 @@
 
     /// Waits until a datagram in flight is delivered. Never completes while no datagram is in
     /// flight.
-    pub(crate) async fn delivered(&mut self) {
+    pub(crate) async fn wait_for_delivery(&mut self) {
         if self.in_flight.join_next().await.is_none() {
             std::future::pending().await
         }
