--- a/crates/cluster-test/src/commands/run.rs
+++ b/crates/cluster-test/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays a scenario and prints the result.
+//! The `run` subcommand: executes a scenario and prints the result.
 
 use super::{CommandError, clean};
 use crate::arguments::RunArguments;
@@ -14,10 +14,10 @@
 use woadstall_emulator_cli::report::{self, FaultBand};
 use woadstall_emulator_cli::rows::Row;
 
-const FAILED: u8 = 1;
-const TOO_SLOW: u8 = 4;
-const INTERRUPTED: u8 = 130;
-/// What rows name in place of the emulator's policy.
+const EXIT_FAILED: u8 = 1;
+const EXIT_TOO_SLOW: u8 = 4;
+const EXIT_INTERRUPTED: u8 = 130;
+/// Policy name in the result rows of cluster runs; the emulator's rows name one of its policies there.
 const ROW_POLICY: &str = "rig";
 
 pub fn run(arguments: RunArguments) -> Result<u8, CommandError> {
@@ -26,15 +26,15 @@
     check_supported(&scenario)?;
     clean()?;
     let options = options(&arguments)?;
-    let played = play(scenario.clone(), &options)?;
-    if options.progress {
+    let outcome = execute(scenario.clone(), &options)?;
+    if options.show_progress {
         eprintln!();
     }
-    let result = match played {
-        None => return Ok(INTERRUPTED),
-        Some(Err(RunError::TooSlow { up_after })) => {
-            warn_too_slow(&RunError::TooSlow { up_after }.to_string());
-            return Ok(TOO_SLOW);
+    let result = match outcome {
+        None => return Ok(EXIT_INTERRUPTED),
+        Some(Err(RunError::TooSlow { startup_time })) => {
+            warn_too_slow(&RunError::TooSlow { startup_time }.to_string());
+            return Ok(EXIT_TOO_SLOW);
         }
         Some(result) => result?,
     };
@@ -45,7 +45,7 @@
         policy: ROW_POLICY.into(),
         seed: arguments.seed,
     };
-    let row = Row::new(key, result.end.clone(), Some(result.lag.clone()));
+    let row = Row::new(key, result.run_result.clone(), Some(result.lag.clone()));
     write_results(&arguments, &scenario, &result, row)?;
     Ok(exit_code(&result))
 }
@@ -53,7 +53,7 @@
 fn options(arguments: &RunArguments) -> Result<Options, CommandError> {
     let program = match &arguments.program {
         Some(program) => program.clone(),
-        None => program_beside()?,
+        None => sibling_program()?,
     };
     let program = program
         .canonicalize()
@@ -62,27 +62,27 @@
         program,
         launcher: std::env::current_exe()?,
         seed: arguments.seed,
-        violation: arguments.violation,
-        keep: arguments.keep,
-        progress: !arguments.json,
+        rule_violation: arguments.violation,
+        keep_logs: arguments.keep,
+        show_progress: !arguments.json,
     })
 }
 
-/// The program that was built together with this one.
-fn program_beside() -> Result<PathBuf, CommandError> {
+/// Returns the `woadstall` binary in the directory of this executable.
+fn sibling_program() -> Result<PathBuf, CommandError> {
     let program = std::env::current_exe()?.with_file_name("woadstall");
     if program.is_file() {
         return Ok(program);
     }
     Err(format!(
-        "{}: not there; build it with `cargo build --release`, or name one with `--program`",
+        "{}: file not found; build it with `cargo build --release`, or set its path with `--program`",
         program.display()
     )
     .into())
 }
 
-/// Plays a scenario; `None` where it was interrupted.
-fn play(
+/// Executes a scenario. Returns `None` if SIGTERM or SIGINT interrupted the run.
+fn execute(
     scenario: Scenario,
     options: &Options,
 ) -> Result<Option<Result<ClusterResult, RunError>>, CommandError> {
@@ -90,7 +90,7 @@
     runtime.block_on(async {
         let mut terminated = signal(SignalKind::terminate())?;
         let mut interrupted = signal(SignalKind::interrupt())?;
-        // A run that is dropped here ends all its processes.
+        // Dropping the future of the run kills all its processes.
         tokio::select! {
             result = run_scenario(scenario, options) => Ok(Some(result)),
             _ = terminated.recv() => Ok(None),
@@ -116,8 +116,8 @@
     if let Some(plot) = &arguments.plot {
         report::write(plot, &report::page(&[row], &FaultBand::of(scenario))?)?;
     }
-    if let Some(logs) = &result.logs {
-        info!(folder = %logs.display(), "logs of the processes kept");
+    if let Some(logs) = &result.log_directory {
+        info!(folder = %logs.display(), "kept the log files of the processes");
     }
     Ok(())
 }
@@ -125,11 +125,11 @@
 fn exit_code(result: &ClusterResult) -> u8 {
     if let Some(reason) = result.too_slow() {
         warn_too_slow(&reason);
-        return TOO_SLOW;
+        return EXIT_TOO_SLOW;
     }
-    if result.is_passed() { 0 } else { FAILED }
+    if result.is_passed() { 0 } else { EXIT_FAILED }
 }
 
 fn warn_too_slow(reason: &str) {
-    warn!(reason, "too slow, no verdict");
+    warn!(reason, "machine too slow; no verdict");
 }
--- a/crates/cluster-test/src/launch.rs
+++ b/crates/cluster-test/src/launch.rs
@@ -1,4 +1,5 @@
-//! What a child does before it becomes the program: it ties its life to the run's process, and takes on its limits.
+//! Preparation of a child process before it executes the program: the child arranges to be killed together with the
+//! run's process and sets its resource limits.
 
 use nix::sys::prctl;
 use nix::sys::resource::{Resource, setrlimit};
@@ -11,28 +12,33 @@
 
 /// Resource limits of a process (`setrlimit(2)`).
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Descriptors that it may have open (`RLIMIT_NOFILE`).
-    pub sockets: u64,
-    /// Memory that it may have for data, in MiB (`RLIMIT_DATA`).
-    pub memory_mb: u64,
+pub struct ProcessLimits {
+    /// Maximum number of open file descriptors (`RLIMIT_NOFILE`).
+    pub max_open_files: u64,
+    /// Maximum size of data memory in MiB (`RLIMIT_DATA`).
+    pub max_data_mib: u64,
 }
 
-/// Becomes the program, which is killed when its parent dies (`PR_SET_PDEATHSIG`). Returns only on failure.
-pub fn launch(parent: i32, limits: Limits, program: &Path) -> io::Error {
+/// Replaces this process with `program`. The kernel kills the program when its parent dies (`PR_SET_PDEATHSIG`).
+/// Returns only on failure.
+pub fn launch(parent: i32, limits: ProcessLimits, program: &Path) -> io::Error {
     match prepare(parent, limits) {
         Ok(()) => Command::new(program).exec(),
         Err(error) => error.into(),
     }
 }
 
-fn prepare(parent: i32, limits: Limits) -> nix::Result<()> {
+fn prepare(parent: i32, limits: ProcessLimits) -> nix::Result<()> {
     prctl::set_pdeathsig(Signal::SIGKILL)?;
     if getppid() != Pid::from_raw(parent) {
-        return Err(nix::Error::ESRCH); // it died before the signal was set
+        return Err(nix::Error::ESRCH); // the parent died before the death signal was set
     }
-    let memory_bytes = limits.memory_mb << 20;
-    setrlimit(Resource::RLIMIT_NOFILE, limits.sockets, limits.sockets)?;
+    let memory_bytes = limits.max_data_mib << 20;
+    setrlimit(
+        Resource::RLIMIT_NOFILE,
+        limits.max_open_files,
+        limits.max_open_files,
+    )?;
     setrlimit(Resource::RLIMIT_DATA, memory_bytes, memory_bytes)?;
     setrlimit(Resource::RLIMIT_CORE, 0, 0)
 }
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -1,4 +1,4 @@
-//! The result as text, for people.
+//! Human-readable text form of the result.
 
 use super::{ClusterResult, mean};
 use std::fmt::{self, Write};
@@ -6,31 +6,31 @@
 use woadstall_emulator_cli::report;
 use woadstall_emulator_cli::rows::Row;
 
-/// The result in short. `row` has the timeline in the emulator's form.
+/// Formats a summary of the result. `row` supplies the scenario, the seed and the overridden settings.
 pub fn text(result: &ClusterResult, row: &Row) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = write_result(&mut text, result, row);
     text
 }
 
 fn write_result(out: &mut String, result: &ClusterResult, row: &Row) -> fmt::Result {
-    let end = &result.end;
-    let balancers = result.balancers;
+    let run_result = &result.run_result;
+    let balancers = result.balancer_count;
     let (scenario, seed, set) = (&row.key.scenario, row.key.seed, row.set());
     writeln!(out, "{scenario}, {balancers} balancers, seed {seed} {set}")?;
     write_calls(out, result)?;
     write_processes(out, result)?;
-    if let Some(members) = &end.members {
-        write_members(out, members, &result.membership_cores)?;
+    if let Some(members) = &run_result.members {
+        write_members(out, members, &result.membership_core_shares)?;
     }
-    if let Some(evacuated) = &end.evacuation {
+    if let Some(evacuated) = &run_result.evacuation {
         write_evacuations(out, evacuated)?;
     }
-    for line in report::rule_lines(end) {
+    for line in report::rule_lines(run_result) {
         writeln!(out, "{line}")?;
     }
-    for breach in &end.first_breaches {
+    for breach in &run_result.first_breaches {
         writeln!(out, "    {:.3} s: {}", breach.at as f64 / 1e9, breach.text)?;
     }
     for failure in &result.failures {
@@ -40,11 +40,11 @@
 }
 
 fn write_calls(out: &mut String, result: &ClusterResult) -> fmt::Result {
-    let (counts, latency) = (&result.end.counts, &result.end.latency);
+    let (counts, latency) = (&result.run_result.counts, &result.run_result.latency);
     writeln!(
         out,
         "  worth served   {:.3} of what was offered",
-        result.end.served_value_fraction
+        result.run_result.served_value_fraction
     )?;
     writeln!(
         out,
@@ -67,8 +67,8 @@
     writeln!(
         out,
         "  processes      {} starts, up after {:.1} s, {} kB of memory at most, {} on average",
-        result.starts,
-        result.up_after.as_secs_f64(),
+        result.process_starts,
+        result.startup_time.as_secs_f64(),
         result.peak_memory_kb.iter().max().unwrap_or(&0),
         mean(&result.peak_memory_kb)
     )?;
@@ -77,20 +77,22 @@
         "  paid           {} connections through the fabric, {} kB, {} list reads",
         result.traffic.streams_opened,
         result.traffic.stream_bytes / 1_000,
-        result.list_queries
+        result.list_reads
     )?;
     writeln!(
         out,
         "  unanswered     {}, of these and late ones {} at stopped balancers; {} ran twice",
-        result.unanswered, result.overdue_at_suspended, result.ran_twice
+        result.unanswered_requests,
+        result.overdue_requests_at_suspended,
+        result.requests_executed_twice
     )?;
     writeln!(
         out,
         "  the rig itself {} of {} calls late, {:.1}% of its timers, a balancer without a core {:.1}% of its time",
         result.lag.late,
         result.lag.calls,
-        100.0 * result.timer_lag,
-        100.0 * result.starved
+        100.0 * result.late_timer_share,
+        100.0 * result.max_core_wait_share
     )
 }
 
@@ -111,14 +113,14 @@
         100.0 * mean_cores,
         100.0 * max_cores
     )?;
-    for story in &members.false_death_details {
-        writeln!(out, "    {story}")?;
+    for detail in &members.false_death_details {
+        writeln!(out, "    {detail}")?;
     }
     Ok(())
 }
 
 fn write_evacuations(out: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
-    let moved: Vec<String> = evacuated
+    let diverted_zones: Vec<String> = evacuated
         .diverted_share_seconds
         .iter()
         .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
@@ -127,6 +129,6 @@
         out,
         "  left           {} moves; seconds without, a balancer: {}",
         evacuated.share_changes,
-        moved.join(", ")
+        diverted_zones.join(", ")
     )
 }
