--- a/crates/transport/src/http2/mod.rs
+++ b/crates/transport/src/http2/mod.rs
@@ -139,7 +139,7 @@
         _: Peer,
         _: Duration,
     ) -> impl Future<Output = (Outcome, Option<LoadReport>)> + Send + 'static {
-        // The platform defines probes for HTTP/1.1 only. The decision module does not depend on a probe's result.
+        // The platform defines probes for HTTP/1.1 only. The decision module does not wait for a probe without a load report.
         std::future::ready((Outcome::Moot, None))
     }
 
