--- a/crates/fault-proxy/src/schedule.rs
+++ b/crates/fault-proxy/src/schedule.rs
@@ -108,8 +108,8 @@
         conditions: &LinkConditions,
         rng: &mut impl Rng,
     ) -> [Option<u64>; 2] {
-        // Every datagram consumes the same number of random draws, so that enabling one fault does
-        // not change which datagrams another fault affects.
+        // All random draws are made for every datagram, even for a lost one, so that the outcome of
+        // one fault does not change which datagrams another fault affects.
         let is_lost = draw_event(rng, conditions.loss);
         let is_duplicated = draw_event(rng, conditions.duplication);
         let is_reordered = draw_event(rng, conditions.reordering);
