--- a/crates/emulator-cli/build.rs
+++ b/crates/emulator-cli/build.rs
@@ -1,4 +1,4 @@
-//! Tells the program which commit it is built from, where that is known.
+//! Sets `WOADSTALL_COMMIT` to the Git commit of the build, or to `unknown` outside a Git checkout.
 
 use std::process::Command;
 
--- a/crates/emulator-cli/src/arguments.rs
+++ b/crates/emulator-cli/src/arguments.rs
@@ -1,33 +1,33 @@
-//! Values on the command line: pairs of key and value, and seeds.
+//! Parsers for values on the command line: key-value pairs and seeds.
 
-/// Seeds of one range at most.
+/// The largest number of seeds in one range.
 const MAX_SEED_RANGE: u64 = 10_000;
 
-/// What is wrong with a value on the command line.
+/// The reason why a value on the command line is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ArgumentError {
-    /// A pair has no `=`, or nothing before it.
+    /// A key-value pair has no `=`, or an empty key.
     #[error("not of the form KEY=VALUE")]
     NoPair,
-    /// A seed is not a number.
+    /// A seed is not an unsigned number.
     #[error("{text:?} is no seed")]
     NoSeed {
-        /// What stands in its place.
+        /// The text given as the seed.
         text: String,
     },
-    /// A range of seeds ends before it begins, or is longer than 10,000.
+    /// A range of seeds ends before it begins, or contains more than 10,000 seeds.
     #[error("{text:?} is no range of 10,000 seeds at most")]
     NoSeedRange {
-        /// The range.
+        /// The text given as the range.
         text: String,
     },
 }
 
-/// Parses `key=value`; blanks around both are dropped.
+/// Parses `key=value`; whitespace around the key and around the value is removed.
 ///
 /// # Errors
 ///
-/// [`ArgumentError::NoPair`].
+/// Returns [`ArgumentError::NoPair`] for text of another form.
 pub fn parse_pair(text: &str) -> Result<(String, String), ArgumentError> {
     match text.split_once('=') {
         Some((key, value)) if !key.trim().is_empty() => {
@@ -37,11 +37,11 @@
     }
 }
 
-/// Parses `3`, or `1..10` with both ends, or several of these behind commas.
+/// Parses a comma-separated list of seeds such as `3` and ranges such as `1..10`, which include both ends.
 ///
 /// # Errors
 ///
-/// [`ArgumentError::NoSeed`] and [`ArgumentError::NoSeedRange`].
+/// Returns [`ArgumentError::NoSeed`] or [`ArgumentError::NoSeedRange`] for the first invalid item of the list.
 pub fn parse_seeds(text: &str) -> Result<Vec<u64>, ArgumentError> {
     let mut seeds = Vec::new();
     for item in text.split(',') {
--- a/crates/emulator-cli/src/arguments/tests.rs
+++ b/crates/emulator-cli/src/arguments/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of values on the command line.
+//! Tests of the parsers for command-line values.
 
 use super::*;
 
--- a/crates/emulator-cli/src/commands.rs
+++ b/crates/emulator-cli/src/commands.rs
@@ -1,4 +1,5 @@
-//! The commands. Each returns the exit code, or an error, which is logged and ends with [`INVALID_INPUT`].
+//! The commands. Each command returns its exit code or an error; `main` logs the error and exits with
+//! [`INVALID_INPUT`].
 
 use crate::error::CommandError;
 use crate::print;
@@ -13,16 +14,15 @@
 use woadstall_emulator_cli::report::{self, FaultBand};
 use woadstall_emulator_cli::rows::{self, Row};
 
-/// Exit code where a file or a scenario is at fault.
+/// Exit code for an invalid file or scenario.
 pub const INVALID_INPUT: u8 = 3;
 
-/// Exit code where a command was interrupted (128 and SIGINT).
+/// Exit code of an interrupted command: 128 plus the number of SIGINT.
 const INTERRUPTED: u8 = 130;
 
-/// Nanoseconds of a second.
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The form of what a command prints.
+/// The format of a command's output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Tables for people.
@@ -31,12 +31,12 @@
     Json,
 }
 
-/// The form that the option `--json` stands for.
+/// Returns the output format selected by the option `--json`.
 pub fn output(json: bool) -> Output {
     if json { Output::Json } else { Output::Text }
 }
 
-/// Plays a scenario once, and prints its row.
+/// Runs a scenario once and prints the result row.
 pub fn run(
     scenario: &Path,
     set: &Overrides,
@@ -66,7 +66,7 @@
     Ok(u8::from(!is_satisfied))
 }
 
-/// Plays all combinations whose rows are not in the file yet.
+/// Runs all combinations of scenarios, overrides, policies and seeds that have no row in the output file yet.
 pub fn sweep(
     scenarios: &[PathBuf],
     sets: &[Overrides],
@@ -80,15 +80,15 @@
         .collect::<Result<Vec<_>, _>>()?;
     let jobs = grid::jobs(&sources, sets, policies, &grid::parse_seeds(seeds)?)?;
     let stop = Arc::new(AtomicBool::new(false));
-    let stopping = stop.clone();
-    ctrlc::set_handler(move || stopping.store(true, Ordering::Relaxed))?;
+    let handler_stop = stop.clone();
+    ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed))?;
     let outcome = sweep::sweep(&jobs, options, &stop)?;
     let (rows, before) = (outcome.rows, outcome.before);
     if rows < jobs.len() {
         warn!(
             rows,
             of = jobs.len(),
-            "stopped; the same command goes on from here"
+            "sweep interrupted; the same command resumes it"
         );
         return Ok(INTERRUPTED);
     }
@@ -96,7 +96,7 @@
     Ok(u8::from(outcome.broken > 0))
 }
 
-/// Compares the rows of two files, of one policy each, and prints the differences.
+/// Compares the rows of one policy in one file with those of one policy in another file, and prints the differences.
 pub fn compare(
     [(left, left_policy), (right, right_policy)]: [(PathBuf, Option<Policy>); 2],
     figure: Figure,
@@ -113,14 +113,14 @@
     Ok(differences)
 }
 
-/// Whether the right side is surely worse in a scenario.
+/// Returns whether the right side is worse in any scenario with 95% confidence.
 pub fn is_any_worse(differences: &[Difference], figure: Figure) -> bool {
-    let is_more_better = matches!(figure, Figure::Score | Figure::Served);
-    let is_worse = |row: &Difference| row.is_sure() && (row.difference < 0.0) == is_more_better;
+    let is_higher_better = matches!(figure, Figure::Score | Figure::Served);
+    let is_worse = |row: &Difference| row.is_sure() && (row.difference < 0.0) == is_higher_better;
     differences.iter().any(is_worse)
 }
 
-/// The rows of a policy; where none is named, of the only one that there is.
+/// Returns the rows of `policy`. Without a policy, all rows must have the same policy, and all rows are returned.
 fn rows_of_policy(rows: &[Row], policy: Option<Policy>) -> Result<Vec<&Row>, CommandError> {
     let policy = policy.map(|policy| policy.to_string());
     let is_chosen = |row: &&Row| {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Writes a page of results, and its plots as files of their own into a folder.
+/// Writes the HTML report of the results, and each plot as an SVG file into the folder `svg` if one is given.
 pub fn report(results: &[PathBuf], out: &Path, svg: Option<&Path>) -> Result<u8, CommandError> {
     let rows = results
         .iter()
@@ -160,7 +160,7 @@
     Ok(0)
 }
 
-/// Plays a scenario and prints what happened to one call.
+/// Runs a scenario and prints the trace of one call.
 pub fn explain(
     scenario: &Path,
     set: &Overrides,
@@ -169,9 +169,9 @@
     call: u64,
 ) -> Result<u8, CommandError> {
     let (scenario, _) = ScenarioFile::read(scenario)?.with(set)?;
-    let mut world = Simulation::new(&scenario, policy, seed);
-    world.trace_call(call);
-    let result = world.run();
+    let mut simulation = Simulation::new(&scenario, policy, seed);
+    simulation.trace_call(call);
+    let result = simulation.run();
     if result.call_trace.is_empty() {
         return Err(CommandError::NoCall { call });
     }
@@ -181,7 +181,7 @@
     Ok(0)
 }
 
-/// Checks scenarios.
+/// Checks that each scenario file is valid.
 pub fn check(scenarios: &[PathBuf]) -> Result<u8, CommandError> {
     for path in scenarios {
         ScenarioFile::read(path)?;
--- a/crates/emulator-cli/src/compare.rs
+++ b/crates/emulator-cli/src/compare.rs
@@ -1,4 +1,5 @@
-//! Two sides compared, paired by scenario and seed: the mean difference with a bootstrap interval.
+//! Comparison of two sets of rows, paired by scenario and seed: the mean difference with a bootstrap confidence
+//! interval.
 
 use crate::rows::Row;
 use crate::scenario_file::Overrides;
@@ -8,16 +9,16 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Resamples of the bootstrap.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 10_000;
 
-/// Resamples that lie on each side of the interval: 2.5%.
+/// Number of resamples beyond each end of the 95% interval: 2.5% of all resamples.
 const TAIL: usize = RESAMPLES / 40;
 
-/// Seed of the resamples.
+/// Seed of the random numbers that draw the resamples.
 const BOOTSTRAP_SEED: u64 = 95;
 
-/// What is compared.
+/// The figure of a run that is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Figure {
     /// Worth served over what the fluid bound allows.
@@ -33,7 +34,7 @@
 }
 
 impl Figure {
-    /// The figure of a result.
+    /// Returns the figure of a row.
     pub fn of(self, row: &Row) -> f64 {
         let end = &row.end;
         match self {
@@ -46,55 +47,56 @@
     }
 }
 
-/// One side against the other in one scenario.
+/// The difference between the two sides in one scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Keys that were set.
+    /// Overrides of the scenario's keys.
     pub set: Overrides,
-    /// Pairs of runs of one seed.
+    /// Number of pairs; the two runs of a pair have the same seed.
     pub pairs: usize,
-    /// The left side's mean.
+    /// Mean figure of the left side.
     pub left: f64,
-    /// The right side's mean.
+    /// Mean figure of the right side.
     pub right: f64,
-    /// Right less left, and where 95 in a hundred resamples lie.
+    /// Mean of the right side minus mean of the left side.
     pub difference: f64,
-    /// The interval of it that chance leaves at 95%.
+    /// The 95% bootstrap confidence interval of the difference.
     pub interval: (f64, f64),
 }
 
 impl Difference {
-    /// Whether chance hardly makes such a difference.
+    /// Returns whether the 95% confidence interval excludes zero.
     pub fn is_sure(&self) -> bool {
         self.interval.0 > 0.0 || self.interval.1 < 0.0
     }
 }
 
-/// Why two sides could not be compared.
+/// The reason why two sets of rows could not be compared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CompareError {
-    /// One side has two rows of a scenario and seed.
+    /// One side has two rows for the same scenario and seed.
     #[error("{scenario}, seed {seed}: there twice on one side")]
     Duplicate {
-        /// The scenario.
+        /// Name of the scenario.
         scenario: String,
-        /// The seed.
+        /// Seed of the row.
         seed: u64,
     },
-    /// A row has no pair: chance of the seeds would come into the difference.
+    /// A row has no counterpart with the same seed. Comparing unpaired rows would add the variance between seeds to the
+    /// difference.
     #[error("{scenario}, seed {seed}: on one side only")]
     Unpaired {
-        /// The scenario.
+        /// Name of the scenario.
         scenario: String,
-        /// The seed.
+        /// Seed of the row.
         seed: u64,
     },
-    /// The digests of a pair differ.
+    /// The two rows of a pair have different scenario digests.
     #[error("{scenario}: the two sides ran different scenarios of this name")]
     DifferentScenarios {
-        /// The scenario.
+        /// Name of the scenario.
         scenario: String,
     },
     /// Neither side has rows.
@@ -102,7 +104,7 @@
     Empty,
 }
 
-/// A scenario, with the keys that were set in it.
+/// Name and overrides of a scenario.
 type ScenarioKey<'a> = (&'a str, &'a Overrides);
 
 /// The rows of both sides for one seed.
@@ -112,14 +114,15 @@
     right: Option<&'a Row>,
 }
 
-/// The pairs of each scenario, by seed.
+/// The pairs of each scenario, keyed by seed.
 type Pairs<'a> = BTreeMap<ScenarioKey<'a>, BTreeMap<u64, Pair<'a>>>;
 
-/// Compares two sides, scenario by scenario, with their rows paired by seed.
+/// Compares two sets of rows for each scenario, with the rows paired by seed.
 ///
 /// # Errors
 ///
-/// Fails if a row has no pair, or more than one, or one of another scenario; see [`CompareError`].
+/// Returns a [`CompareError`] if a row has no counterpart, has a duplicate, or is paired with a row of a different
+/// scenario.
 pub fn compare(
     left: &[&Row],
     right: &[&Row],
@@ -156,7 +159,7 @@
     Ok(())
 }
 
-/// The difference in one scenario, over its seeds.
+/// Computes the mean difference over all seeds of one scenario.
 fn difference(
     (scenario, set): ScenarioKey<'_>,
     seeds: &BTreeMap<u64, Pair<'_>>,
@@ -189,8 +192,8 @@
     })
 }
 
-/// Where 95 in a hundred means of resamples lie (percentile bootstrap; Efron and Tibshirani, 1993). The
-/// resamples are drawn with a fixed seed, so that equal values give an equal interval.
+/// Returns the 95% confidence interval of the mean (percentile bootstrap; Efron and Tibshirani, 1993). The resamples
+/// are drawn with a fixed seed, so that equal values give equal intervals.
 pub fn interval(values: &[f64]) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(BOOTSTRAP_SEED);
     let count = values.len();
--- a/crates/emulator-cli/src/error.rs
+++ b/crates/emulator-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be executed.
+//! The error type of the commands.
 
 use crate::sweep::SweepError;
 use std::io;
@@ -7,56 +7,56 @@
 use woadstall_emulator_cli::rows::RowError;
 use woadstall_emulator_cli::{ArgumentError, ScenarioFileError};
 
-/// Why a command could not be executed; the text names the file or the argument.
+/// The reason why a command failed; the message names the file or the argument.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// A scenario could not be read.
     #[error(transparent)]
     Scenario(#[from] ScenarioFileError),
-    /// An argument is of another form.
+    /// A command-line argument is malformed.
     #[error(transparent)]
     Argument(#[from] ArgumentError),
-    /// Rows could not be read.
+    /// Result rows could not be read.
     #[error(transparent)]
     Rows(#[from] RowError),
     /// A sweep failed.
     #[error(transparent)]
     Sweep(#[from] SweepError),
-    /// Two sides cannot be compared.
+    /// The two sets of rows cannot be compared.
     #[error(transparent)]
     Compare(#[from] CompareError),
     /// A report could not be written.
     #[error(transparent)]
     Report(#[from] ReportError),
-    /// A result has no JSON form.
+    /// A result could not be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Interrupts could not be caught.
+    /// The handler for interrupts could not be installed.
     #[error(transparent)]
     Signal(#[from] ctrlc::Error),
-    /// A side has no rows of the policy.
+    /// One side of a comparison has no rows of the chosen policy.
     #[error("no rows of that policy")]
     NoRows,
-    /// A side has rows of several policies, and none is named.
+    /// One side of a comparison has rows of several policies, and the command line chooses none of the policies.
     #[error("rows of {first} and {other}: name one")]
     SeveralPolicies {
-        /// The policy of its first row.
+        /// The policy of the first row.
         first: String,
-        /// Another.
+        /// The first policy that differs from the policy of the first row.
         other: String,
     },
-    /// The folder of the plots could not be made.
+    /// The folder for the plots could not be created.
     #[error("{path}: {source}")]
     CreateFolder {
         /// Path of the folder.
         path: String,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// The run has fewer calls.
+    /// The run has no call with the requested number.
     #[error("there is no call {call} in this run")]
     NoCall {
-        /// The call's number.
+        /// Number of the requested call.
         call: u64,
     },
 }
--- a/crates/emulator-cli/src/grid.rs
+++ b/crates/emulator-cli/src/grid.rs
@@ -1,4 +1,4 @@
-//! The runs of an experiment: scenarios, with keys set to other values, policies and seeds.
+//! The runs of an experiment: combinations of scenarios, overrides, policies and seeds.
 
 use crate::scenario_file::ScenarioFileError;
 use serde::{Deserialize, Serialize};
@@ -7,38 +7,38 @@
 pub use crate::arguments::{parse_pair, parse_seeds};
 pub use crate::scenario_file::{Overrides, ScenarioFile};
 
-/// One run.
+/// One run of an experiment.
 #[derive(Clone)]
 pub struct Job {
-    /// What is played.
+    /// The scenario, with overrides applied.
     pub scenario: Scenario,
-    /// As in its key.
+    /// Digest of the scenario, as in [`RunKey::digest`].
     pub digest: String,
-    /// What was set in it.
+    /// The overrides of the scenario's keys.
     pub set: Overrides,
-    /// Who decides.
+    /// The policy that makes the load-balancing decisions.
     pub policy: Policy,
-    /// Of all random numbers.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
 }
 
-/// What tells runs apart.
+/// The key that identifies a run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 pub struct RunKey {
     /// The scenario's name.
     pub scenario: String,
-    /// Of the scenario with what is set: 16 digits of its SHA-256.
+    /// Digest of the scenario with its overrides: the first 16 hexadecimal digits of the SHA-256 hash.
     pub digest: String,
-    /// What was set in it.
+    /// The overrides of the scenario's keys.
     pub set: Overrides,
-    /// Who decided.
+    /// Name of the policy that made the load-balancing decisions.
     pub policy: String,
-    /// Of all random numbers.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
 }
 
 impl Job {
-    /// What tells its row from others.
+    /// Returns the key that identifies the row of this job.
     pub fn key(&self) -> RunKey {
         RunKey {
             scenario: self.scenario.name.clone(),
@@ -50,7 +50,8 @@
     }
 }
 
-/// All combinations of what varies, in the order in which it is given; the last varies fastest.
+/// Returns `fixed` with all combinations of the varied values, which are separated by commas. The order follows the
+/// arguments; the last key varies fastest.
 pub fn combinations(fixed: &Overrides, varied: &[(String, String)]) -> Vec<Overrides> {
     let mut sets = vec![fixed.clone()];
     for (key, values) in varied {
@@ -67,11 +68,11 @@
     sets
 }
 
-/// All runs of a sweep: scenarios, then sets, then policies, then seeds; the last varies fastest.
+/// Returns all runs of a sweep, ordered by scenario, overrides, policy and seed; the seed varies fastest.
 ///
 /// # Errors
 ///
-/// As [`ScenarioFile::with`], of the first scenario at fault.
+/// Returns the error of [`ScenarioFile::with`] for the first invalid combination of scenario and overrides.
 pub fn jobs(
     sources: &[ScenarioFile],
     sets: &[Overrides],
--- a/crates/emulator-cli/src/grid/tests.rs
+++ b/crates/emulator-cli/src/grid/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of combinations.
+//! Tests of combinations of overrides.
 
 use super::*;
 
--- a/crates/emulator-cli/src/lib.rs
+++ b/crates/emulator-cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! What `woadstall-emulator-cli`, `woadstall-load-test` and `woadstall-cluster-test` share: which runs there are, the form of their results
-//! and of their log lines, and pages of results.
+//! Modules shared by `woadstall-emulator-cli`, `woadstall-load-test` and `woadstall-cluster-test`: the runs of an
+//! experiment, the formats of result rows and log lines, and HTML reports.
 
 mod arguments;
 pub mod compare;
--- a/crates/emulator-cli/src/log.rs
+++ b/crates/emulator-cli/src/log.rs
@@ -1,10 +1,10 @@
-//! Log lines of the commands, on standard error.
+//! Logging of the commands to standard error.
 
 use clap::ValueEnum;
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
     /// For people.
@@ -14,8 +14,8 @@
 }
 
 impl LogFormat {
-    /// Installs the subscriber that writes lines in this form to standard error. `WOADSTALL_LOG` says which, as `info`
-    /// or `warn`; `info` by default.
+    /// Installs the subscriber that writes log lines in this format to standard error. The environment variable
+    /// `WOADSTALL_LOG` holds the filter, for example `info` or `warn`; the default is `info`.
     ///
     /// # Panics
     ///
--- a/crates/emulator-cli/src/main.rs
+++ b/crates/emulator-cli/src/main.rs
@@ -1,7 +1,12 @@
-//! Experiments over emulated fleets.
+//! Command line for experiments with emulated fleets.
 //!
-//! Exit codes: 0 all well; 1 a rule or a bound was broken in a run, or a comparison is surely worse with `--fail-worse`;
-//! 2 the command line is at fault; 3 a file or a scenario is; 130 interrupted (what is written is whole).
+//! Exit codes:
+//!
+//! - 0: success.
+//! - 1: a run broke a rule or a bound, or the right side of a comparison with `--fail-worse` is significantly worse.
+//! - 2: the command line is invalid.
+//! - 3: a file or a scenario is invalid.
+//! - 130: the command was interrupted; each complete row in the output file is valid.
 
 mod commands;
 mod error;
@@ -150,7 +155,7 @@
     }
 }
 
-/// Executes a command, and returns the exit code.
+/// Executes a command and returns its exit code.
 fn execute(command: Command) -> Result<u8, error::CommandError> {
     match command {
         Command::Run {
--- a/crates/emulator-cli/src/print.rs
+++ b/crates/emulator-cli/src/print.rs
@@ -1,4 +1,4 @@
-//! Results as text for people, on standard output.
+//! Prints results as plain text to standard output.
 
 use woadstall_emulator_cli::compare::Difference;
 use woadstall_emulator_cli::report;
@@ -41,7 +41,7 @@
     breaches(row);
 }
 
-/// What the fleets paid beside the work.
+/// Prints the costs of a run apart from the requests' own work, one line per tier and cost.
 fn costs(row: &Row) {
     if !row.end.costs.is_empty() {
         println!(
@@ -79,7 +79,7 @@
     }
 }
 
-/// Prints a line for each scenario that was compared.
+/// Prints one line for each compared scenario.
 pub fn differences(differences: &[Difference]) {
     println!(
         "{:<24} {:>6} {:>9} {:>9} {:>11}  95%",
--- a/crates/emulator-cli/src/report.rs
+++ b/crates/emulator-cli/src/report.rs
@@ -1,4 +1,4 @@
-//! Results as one HTML file that opens without a network: tables, and plots as SVG within it.
+//! HTML reports of results. A report is one file with tables and inline SVG plots, and loads nothing over the network.
 
 mod charts;
 mod fault_band;
@@ -15,20 +15,20 @@
 
 pub use fault_band::FaultBand;
 
-/// Rows of a scenario whose timelines are drawn at most: more lines cannot be told apart.
+/// The largest number of rows of a scenario in one plot; more lines could not be distinguished.
 const MAX_LINES: usize = 6;
 
-/// The head of a page.
+/// HTML before the sections of a page.
 const HEAD: &str = "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>woadstall-emulator-cli</title>\n<style>\
          body{font:15px sans-serif;margin:2em auto;max-width:1540px;color:#222}table{border-collapse:collapse}\
          td,th{padding:.25em .8em;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child,\
          td:nth-child(2),th:nth-child(2){text-align:left}svg{margin:.4em}.bad{color:#b00}\
          </style>\n<h1>woadstall-emulator-cli</h1>\n";
 
-/// Why a report could not be made.
+/// The reason why a report could not be created.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// There is no row to draw.
+    /// There are no rows to plot.
     #[error("no rows")]
     NoRows,
     /// A chart could not be drawn.
@@ -39,7 +39,7 @@
     Write {
         /// Path of the file.
         path: String,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
 }
@@ -50,11 +50,11 @@
         .replace('>', "&gt;")
 }
 
-/// The page of all rows. Bands are drawn into all plots over time, and named below the tables.
+/// Returns the HTML page for all rows. Fault bands are shaded in all line charts over time, and listed below the tables.
 ///
 /// # Errors
 ///
-/// [`ReportError::Chart`], if a plot cannot be drawn.
+/// Returns [`ReportError::Chart`] if a plot cannot be drawn.
 pub fn page(rows: &[Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut html = HEAD.to_owned();
     let mut scenarios: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
@@ -67,7 +67,7 @@
     Ok(html)
 }
 
-/// The part of the page on one scenario.
+/// Returns the section of the page for one scenario.
 fn section(scenario: &str, rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut html = String::new();
     let _ = writeln!(
@@ -77,14 +77,14 @@
         tables::figures(rows),
         tables::costs(rows)
     );
-    let with_time: Vec<&Row> = rows
+    let with_timeline: Vec<&Row> = rows
         .iter()
         .copied()
         .filter(|row| !row.end.timeline.is_empty())
         .collect();
-    // One seed of each policy: more lines cannot be told apart.
-    let seed = with_time.first().map(|row| row.key.seed);
-    let shown: Vec<&Row> = with_time
+    // Only the rows of one seed are plotted, since more lines could not be distinguished.
+    let seed = with_timeline.first().map(|row| row.key.seed);
+    let shown: Vec<&Row> = with_timeline
         .into_iter()
         .filter(|row| Some(row.key.seed) == seed)
         .take(MAX_LINES)
@@ -103,11 +103,11 @@
     Ok(html)
 }
 
-/// Writes a page, or a plot, and logs that.
+/// Writes a page or a plot to a file, and logs the path.
 ///
 /// # Errors
 ///
-/// [`ReportError::Write`].
+/// Returns [`ReportError::Write`] if the file cannot be written.
 pub fn write(path: &Path, text: &str) -> Result<(), ReportError> {
     std::fs::write(path, text).map_err(|source| ReportError::Write {
         path: path.display().to_string(),
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// Whether each rule and each bound was kept, a line each, for people.
+/// Returns one line of text for each rule and each bound, which states whether the run kept it.
 pub fn rule_lines(end: &RunResult) -> impl Iterator<Item = String> {
     let rules = end.breaches.iter().map(|(rule, count)| match count {
         0 => format!("  {rule}: kept"),
@@ -126,7 +126,7 @@
     rules.chain(end.bounds.iter().map(|bound| format!("  {bound}")))
 }
 
-/// The plots of a page, each an SVG file as it is.
+/// Returns the SVG elements of a page; each is a complete SVG file.
 pub fn svgs(page: &str) -> impl Iterator<Item = &str> {
     const END: &str = "</svg>";
     page.match_indices("<svg").filter_map(|(from, _)| {
--- a/crates/emulator-cli/src/report/charts.rs
+++ b/crates/emulator-cli/src/report/charts.rs
@@ -1,4 +1,4 @@
-//! Charts over time, as SVG.
+//! SVG charts over time.
 
 use super::ReportError;
 use super::fault_band::FaultBand;
@@ -13,23 +13,23 @@
 /// Size of a heat map, in pixels.
 const HEAT_MAP_SIZE: (u32, u32) = (SIZE.0, SIZE.1 + 60);
 
-/// Rows of a heat map at most: more hosts share one.
+/// The largest number of rows in a heat map; with more hosts, several hosts share a row.
 const MAX_HEAT_ROWS: usize = 64;
 
-/// Why a chart could not be drawn.
+/// The reason why a chart could not be drawn.
 pub type DrawError = DrawingAreaErrorKind<io::Error>;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// One line of a chart.
 pub struct Series {
-    /// Its name, for the legend.
+    /// Name of the line in the legend.
     pub name: String,
-    /// Seconds from the start of the run, and the value there.
+    /// Points of the line: seconds since the start of the run, and the value at that time.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A chart of lines over time, with the faults shaded.
+/// Draws a line chart over time, with the times of faults shaded.
 pub fn line_chart(
     title: &str,
     unit: &str,
@@ -85,7 +85,8 @@
     area.present()
 }
 
-/// Attempts at each host over time: dark where there are more. Empty if no host is known.
+/// Draws a heat map of the attempts at each host over time; darker cells have more attempts. Returns an empty string if
+/// the timeline has no hosts.
 pub fn heat_map(title: &str, steps: &[TimelineStep]) -> Result<String, ReportError> {
     let hosts = steps
         .iter()
@@ -108,7 +109,7 @@
     Ok(svg)
 }
 
-/// How the hosts share the rows of a heat map.
+/// The assignment of hosts to the rows of a heat map.
 struct HeatGrid {
     hosts: usize,
     rows: usize,
@@ -116,7 +117,7 @@
 }
 
 impl HeatGrid {
-    /// Attempts per host in a row and step.
+    /// Returns the mean number of attempts per host in one row and one step.
     fn value(&self, step: &TimelineStep, row: usize) -> f64 {
         let first = row * self.hosts_per_row;
         let hosts = step
@@ -171,7 +172,7 @@
     area.present()
 }
 
-/// White at 0, dark blue at 1; by the root, so that small values are seen.
+/// Returns white for 0 and dark blue for 1. The square root of the fraction makes small values visible.
 fn heat_color(fraction: f64) -> RGBColor {
     let depth = fraction.sqrt();
     let shade = |full: f64| (255.0 - (255.0 - full) * depth) as u8;
--- a/crates/emulator-cli/src/report/fault_band.rs
+++ b/crates/emulator-cli/src/report/fault_band.rs
@@ -1,20 +1,20 @@
-//! The times of a scenario's faults, as plots shade them.
+//! The time ranges of a scenario's faults, which plots shade.
 
 use woadstall_emulator::{Fault, Scenario};
 
-/// The time of a fault, as plots shade it.
+/// The time range of one fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultBand {
-    /// Its begin, in seconds from the start of the run.
+    /// Begin of the fault, in seconds since the start of the run.
     pub from: f64,
-    /// Its end, in seconds from the start of the run.
+    /// End of the fault, in seconds since the start of the run.
     pub until: f64,
-    /// The fault: its kind, where it was, and which part of that it hit.
+    /// Description of the fault: its kind, the tier and zone, and the percentage of hosts affected.
     pub name: String,
 }
 
 impl FaultBand {
-    /// The faults of a scenario.
+    /// Returns the time ranges of all faults of a scenario.
     pub fn of(scenario: &Scenario) -> Vec<Self> {
         let band = |fault: &Fault| Self {
             from: fault.at.seconds(),
@@ -40,7 +40,7 @@
     name.trim().to_owned()
 }
 
-/// The kind of a fault, as scenario files write it.
+/// Returns the kind of a fault as it is spelled in scenario files.
 fn fault_kind(fault: &Fault) -> String {
     match toml::Value::try_from(&fault.kind) {
         Ok(toml::Value::String(name)) => name,
--- a/crates/emulator-cli/src/report/tables.rs
+++ b/crates/emulator-cli/src/report/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a page: the figures of each policy, and its costs beside the work.
+//! The tables of a report: the figures of each policy, and its costs apart from the requests' own work.
 
 use super::escape;
 use crate::compare::{Figure, interval};
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use woadstall_emulator::CostRow;
 
-/// A line for each policy and setting, means over the seeds.
+/// Returns a table with one line for each policy and set of overrides, averaged over the seeds.
 pub fn figures(rows: &[&Row]) -> String {
     let mut groups: BTreeMap<(String, String), Vec<&Row>> = BTreeMap::new();
     rows.iter().for_each(|row| {
@@ -50,18 +50,19 @@
     html + "</table>\n"
 }
 
-/// What each policy's fleets paid beside the work: a line for each tier and price, means over the seeds.
+/// Returns a table of the costs apart from the requests' own work, with one line for each policy, set of overrides, tier
+/// and kind of cost, averaged over the seeds. Returns an empty string if the rows have no costs.
 pub fn costs(rows: &[&Row]) -> String {
     let mut groups: BTreeMap<(String, String, String, String), Vec<&CostRow>> = BTreeMap::new();
     for row in rows {
-        for price in &row.end.costs {
+        for cost in &row.end.costs {
             let key = (
                 row.key.policy.clone(),
                 row.set(),
-                price.tier.clone(),
-                price.cost.to_string(),
+                cost.tier.clone(),
+                cost.cost.to_string(),
             );
-            groups.entry(key).or_default().push(price);
+            groups.entry(key).or_default().push(cost);
         }
     }
     if groups.is_empty() {
--- a/crates/emulator-cli/src/report/timeline.rs
+++ b/crates/emulator-cli/src/report/timeline.rs
@@ -1,4 +1,4 @@
-//! The plots of rows that have a timeline.
+//! The plots of a report, drawn from the timelines of rows.
 
 use super::ReportError;
 use super::charts::{Series, heat_map, line_chart};
@@ -6,15 +6,15 @@
 use crate::rows::Row;
 use woadstall_emulator::TimelineStep;
 
-/// Topics of log lines that are counted.
+/// Topics of log lines that are plotted.
 const LOG_TOPICS: [&str; 3] = ["breaker", "zone", "shedding"];
 
-/// How a figure of a step becomes a value of a chart.
+/// The conversion of a step's figure to a chart value.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Scale {
-    /// As it is.
+    /// The figure is used unchanged.
     Absolute,
-    /// Divided by the seconds of the step.
+    /// The figure is divided by the length of the step in seconds.
     PerSecond,
 }
 
@@ -28,40 +28,44 @@
     format!("{}{set}, seed {}", row.key.policy, row.key.seed)
 }
 
-/// The figure of each step of a row.
+/// Returns the chart points of a row: the end time of each step and its scaled figure.
 fn points(row: &Row, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Vec<(f64, f64)> {
-    let mut before = 0.0;
+    let mut previous_end_seconds = 0.0;
     let point = |step: &TimelineStep| {
         let figure = figure(step);
         let value = match scale {
             Scale::Absolute => figure,
-            Scale::PerSecond => figure / (step.end_seconds - before).max(1e-9),
+            Scale::PerSecond => figure / (step.end_seconds - previous_end_seconds).max(1e-9),
         };
-        before = step.end_seconds;
+        previous_end_seconds = step.end_seconds;
         (step.end_seconds, value)
     };
     row.end.timeline.iter().map(point).collect()
 }
 
-fn named(name: &str, row: &Row, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Series {
+fn series(name: &str, row: &Row, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Series {
     Series {
         name: name.to_owned(),
         points: points(row, scale, figure),
     }
 }
 
-/// A line for each row.
-fn each_row(rows: &[&Row], scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64) -> Vec<Series> {
+/// Returns one series for each row.
+fn series_per_row(
+    rows: &[&Row],
+    scale: Scale,
+    figure: &dyn Fn(&TimelineStep) -> f64,
+) -> Vec<Series> {
     rows.iter()
-        .map(|row| named(&name(row), row, scale, figure))
+        .map(|row| series(&name(row), row, scale, figure))
         .collect()
 }
 
-/// The plots of one scenario's rows.
+/// Returns the plots for the rows of one scenario.
 ///
 /// # Errors
 ///
-/// [`ReportError::NoRows`]; [`ReportError::Chart`], if one cannot be drawn.
+/// Returns [`ReportError::NoRows`] without rows, and [`ReportError::Chart`] if a plot cannot be drawn.
 pub fn plots(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let first = rows.first().ok_or(ReportError::NoRows)?;
     let mut html = served(first, rows, bands)?;
@@ -75,17 +79,17 @@
     Ok(html)
 }
 
-/// What was served, below what was offered.
+/// Plots the served load of each row together with the offered load.
 fn served(first: &Row, rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     use Scale::PerSecond;
-    let mut value = vec![named("offered", first, PerSecond, &|step| {
+    let mut value = vec![series("offered", first, PerSecond, &|step| {
         step.counts.value_offered
     })];
-    value.extend(each_row(rows, PerSecond, &|step| step.counts.value));
-    let mut on_time = vec![named("offered", first, PerSecond, &|step| {
+    value.extend(series_per_row(rows, PerSecond, &|step| step.counts.value));
+    let mut on_time = vec![series("offered", first, PerSecond, &|step| {
         step.counts.offered as f64
     })];
-    on_time.extend(each_row(rows, PerSecond, &|step| {
+    on_time.extend(series_per_row(rows, PerSecond, &|step| {
         step.counts.on_time as f64
     }));
     let value = line_chart("Worth served", "worth a second", bands, &value)?;
@@ -96,7 +100,7 @@
 fn attempts_and_latencies(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     use Scale::{Absolute, PerSecond};
     let chart = |title: &str, unit: &str, scale: Scale, figure: &dyn Fn(&TimelineStep) -> f64| {
-        line_chart(title, unit, bands, &each_row(rows, scale, figure))
+        line_chart(title, unit, bands, &series_per_row(rows, scale, figure))
     };
     let charts = [
         chart("Attempts at nodos", "a second", PerSecond, &|step| {
@@ -116,13 +120,13 @@
     Ok(charts.concat())
 }
 
-/// What balancers logged in the first row; empty if nothing.
+/// Plots the number of log lines per topic in the first row. Returns an empty string if no topic has log lines.
 fn log_lines(first: &Row, bands: &[FaultBand]) -> Result<String, ReportError> {
     let mut topics: Vec<Series> = Vec::new();
     for topic in LOG_TOPICS {
         let count =
             |step: &TimelineStep| step.log_lines_by_topic.get(topic).copied().unwrap_or(0) as f64;
-        let series = named(topic, first, Scale::Absolute, &count);
+        let series = series(topic, first, Scale::Absolute, &count);
         if series.points.iter().any(|(_, count)| *count > 0.0) {
             topics.push(series);
         }
@@ -134,7 +138,7 @@
     line_chart(&title, "lines a step", bands, &topics)
 }
 
-/// Processes that run, for each row that counts them.
+/// Plots the number of running processes for each row that records it.
 fn processes(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
     let balancers = |step: &TimelineStep| step.running_processes.map_or(0.0, |up| up.0 as f64);
     let upstreams = |step: &TimelineStep| step.running_processes.map_or(0.0, |up| up.1 as f64);
@@ -146,8 +150,8 @@
             .any(|step| step.running_processes.is_some())
     }) {
         let series = [
-            named("balancers", row, Scale::Absolute, &balancers),
-            named("nodos", row, Scale::Absolute, &upstreams),
+            series("balancers", row, Scale::Absolute, &balancers),
+            series("nodos", row, Scale::Absolute, &upstreams),
         ];
         let title = format!("Processes that run, {}", name(row));
         html += &line_chart(&title, "processes", bands, &series)?;
--- a/crates/emulator-cli/src/rows.rs
+++ b/crates/emulator-cli/src/rows.rs
@@ -1,4 +1,4 @@
-//! Results as JSON lines: one row a run, with what tells it apart from others.
+//! Results as JSON lines: one row per run, with the key that identifies the run.
 
 use crate::grid::{Job, RunKey};
 use serde::{Deserialize, Serialize};
@@ -7,10 +7,10 @@
 use std::path::Path;
 use woadstall_emulator::{RunResult, run};
 
-/// The form of rows; one with another number is rejected.
+/// Version of the row format; rows with another version are rejected.
 const VERSION: u32 = 1;
 
-/// Why rows could not be read or written.
+/// The reason why rows could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
     /// The file could not be opened, read or written.
@@ -18,30 +18,30 @@
     File {
         /// Path of the file.
         path: String,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// A line is not a row.
+    /// A line could not be parsed as a row.
     #[error("{path}: line {line}: {source}")]
     Line {
         /// Path of the file.
         path: String,
-        /// The line, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// What the parser reports.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// A row is of another form.
+    /// A row has another format version.
     #[error("{path}: line {line}: version {version}, not {VERSION}")]
     Version {
         /// Path of the file.
         path: String,
-        /// The line, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// The row's version.
+        /// Format version of the row.
         version: u32,
     },
-    /// A figure of the result has no JSON form.
+    /// A row could not be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
@@ -58,34 +58,35 @@
 /// One run and its result.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Row {
-    /// Of the form of rows.
+    /// Version of the row format.
     pub version: u32,
     /// The commit that the program was built from.
     pub commit: String,
-    /// What tells it from others.
+    /// The key that identifies the run.
     #[serde(flatten)]
     pub key: RunKey,
-    /// On real sockets: how late the tool itself was.
+    /// Delays of the load generator; present only for runs on real sockets.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lag: Option<Lag>,
-    /// The result.
+    /// The result of the run.
     pub end: RunResult,
 }
 
-/// How late a tool on real sockets began its calls. They are counted from when they were due all the same.
+/// Delays with which a load generator on real sockets started its calls. The latency of a late call is still measured
+/// from its scheduled time.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Lag {
-    /// Calls that it began more than 5 ms late.
+    /// Number of calls that started more than 5 ms late.
     pub late: u64,
-    /// Of so many.
+    /// Number of all calls.
     pub calls: u64,
-    /// The worst, in milliseconds.
+    /// The longest delay, in milliseconds.
     pub worst_ms: f64,
 }
 
 impl Row {
-    /// Runs a job. Without its timeline a row has some hundred bytes.
+    /// Runs a job and returns its row. A row without a timeline takes several hundred bytes.
     pub fn run(job: &Job, timeline: bool) -> Self {
         let mut end = run(&job.scenario, job.policy, job.seed);
         if !timeline {
@@ -94,7 +95,7 @@
         Self::new(job.key(), end, None)
     }
 
-    /// A row of a result.
+    /// Creates a row for a result.
     pub fn new(key: RunKey, end: RunResult, lag: Option<Lag>) -> Self {
         Self {
             version: VERSION,
@@ -105,20 +106,20 @@
         }
     }
 
-    /// The row as one line of JSON, without its end.
+    /// Returns the row as one line of JSON, without a line break.
     ///
     /// # Errors
     ///
-    /// Fails if a figure of the result has no JSON form.
+    /// Returns an error if the row cannot be serialized as JSON.
     pub fn line(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string(self)
     }
 
-    /// Appends it to a file of rows.
+    /// Appends the row to a file of rows.
     ///
     /// # Errors
     ///
-    /// [`RowError::Json`] and [`RowError::File`].
+    /// Returns [`RowError::Json`] or [`RowError::File`].
     pub fn append(&self, path: &Path) -> Result<(), RowError> {
         let line = self.line()?;
         let file = OpenOptions::new().create(true).append(true).open(path);
@@ -126,7 +127,7 @@
         written.map_err(|source| RowError::file(path, source))
     }
 
-    /// What varies, for people.
+    /// Returns the overrides as text, for example `limits.attempts=2 time=30s`.
     pub fn set(&self) -> String {
         let set: Vec<_> = self
             .key
@@ -138,11 +139,12 @@
     }
 }
 
-/// Reads the rows of a file. The last line may be incomplete, where a writer was killed.
+/// Reads the rows of a file. An incomplete last line is ignored, since a killed writer may leave one.
 ///
 /// # Errors
 ///
-/// [`RowError::File`]; [`RowError::Line`] and [`RowError::Version`], of the first line that cannot be read.
+/// Returns [`RowError::File`] if the file cannot be read, and [`RowError::Line`] or [`RowError::Version`] for the first
+/// invalid line.
 pub fn read(path: &Path) -> Result<Vec<Row>, RowError> {
     let file = File::open(path).map_err(|source| RowError::file(path, source))?;
     let lines: Result<Vec<String>, _> = BufReader::new(file).lines().collect();
--- a/crates/emulator-cli/src/scenario_file.rs
+++ b/crates/emulator-cli/src/scenario_file.rs
@@ -1,4 +1,4 @@
-//! Scenario files, and the keys in them that a run sets to other values.
+//! Scenario files, and overrides of their keys for a run.
 
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -7,13 +7,13 @@
 use toml::{Table, Value};
 use woadstall_emulator::{Scenario, ScenarioError};
 
-/// Bytes of the SHA-256 that make a digest.
+/// Number of leading bytes of the SHA-256 hash in a scenario's digest.
 const DIGEST_BYTES: usize = 8;
 
-/// Keys and the values they are set to, as given.
+/// Overridden keys and their values, as given on the command line.
 pub type Overrides = BTreeMap<String, String>;
 
-/// Why a scenario could not be read, or a key in it not be set.
+/// The reason why a scenario could not be read, or one of its keys could not be overridden.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioFileError {
     /// The file could not be read.
@@ -21,81 +21,81 @@
     Read {
         /// Path of the file.
         path: String,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// The scenario is not sound, as it stands or with the keys that are set.
+    /// The scenario is invalid, with or without the overrides.
     #[error("{path}: {source}")]
     Scenario {
         /// Path of the file.
         path: String,
-        /// What is at fault in it.
+        /// Validation error of the scenario.
         source: ScenarioError,
     },
-    /// The file is not TOML.
+    /// The file is not valid TOML.
     #[error("{path}: {source}")]
     Syntax {
         /// Path of the file.
         path: String,
-        /// What the parser reports.
+        /// Error of the parser.
         source: Box<toml::de::Error>,
     },
-    /// The scenario could not be written as TOML again.
+    /// The scenario with its overrides could not be serialized as TOML.
     #[error("{path}: {source}")]
     Write {
         /// Path of the file.
         path: String,
-        /// What the serializer reports.
+        /// Error of the serializer.
         source: toml::ser::Error,
     },
-    /// A key could not be set.
+    /// A key could not be overridden.
     #[error("{path}: {key}: {source}")]
     Override {
         /// Path of the file.
         path: String,
-        /// The key.
+        /// The overridden key.
         key: String,
-        /// Why not.
+        /// The reason why the key could not be overridden.
         source: OverrideError,
     },
 }
 
-/// Why a key of a scenario could not be set.
+/// The reason why a key of a scenario could not be overridden.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
     /// The key is empty, or ends with a dot.
     #[error("no key")]
     Empty,
-    /// A list has no such entry.
+    /// The key names an entry that the list does not have.
     #[error("`{list}` has {count} entries, and none is `{index}`")]
     NoEntry {
         /// Key of the list.
         list: String,
-        /// Its entries.
+        /// Number of entries in the list.
         count: usize,
-        /// The entry that the key names.
+        /// The index in the key.
         index: String,
     },
-    /// The key goes on below a value that is no table and no list.
+    /// The key has further segments below a value that is neither a table nor a list.
     #[error("`{key}` holds no further keys")]
     NoTable {
-        /// Key of the value.
+        /// The segment that names the value.
         key: String,
     },
 }
 
-/// A scenario as a file has it, before anything is set.
+/// A scenario as read from a file, without overrides.
 pub struct ScenarioFile {
     table: Table,
     path: String,
 }
 
 impl ScenarioFile {
-    /// Reads a file.
+    /// Reads and validates a scenario file.
     ///
     /// # Errors
     ///
-    /// [`ScenarioFileError::Read`], [`ScenarioFileError::Scenario`] or [`ScenarioFileError::Syntax`].
+    /// Returns [`ScenarioFileError::Read`], [`ScenarioFileError::Scenario`] or [`ScenarioFileError::Syntax`].
     pub fn read(path: &Path) -> Result<Self, ScenarioFileError> {
         let name = || path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| ScenarioFileError::Read {
@@ -116,12 +116,12 @@
         })
     }
 
-    /// The scenario with keys set to other values, and its digest: 16 hexadecimal digits.
+    /// Returns the scenario with overrides applied, and its digest of 16 hexadecimal digits.
     ///
     /// # Errors
     ///
-    /// [`ScenarioFileError::Override`], if a key cannot be set; [`ScenarioFileError::Scenario`], if the scenario is
-    /// not sound then.
+    /// Returns [`ScenarioFileError::Override`] if a key cannot be overridden, and [`ScenarioFileError::Scenario`] if the
+    /// scenario with its overrides is invalid.
     pub fn with(&self, set: &Overrides) -> Result<(Scenario, String), ScenarioFileError> {
         let mut table = self.table.clone();
         for (key, value) in set {
@@ -140,9 +140,9 @@
             path: self.path.clone(),
             source,
         })?;
-        // Of what it means, so that a comment or the order of keys makes no other scenario.
-        let meaning = toml::to_string(&scenario).map_err(write_error)?;
-        Ok((scenario, digest(&meaning)))
+        // The digest covers the parsed scenario, so that comments and the order of keys do not change the digest.
+        let canonical_text = toml::to_string(&scenario).map_err(write_error)?;
+        Ok((scenario, digest(&canonical_text)))
     }
 }
 
@@ -155,7 +155,7 @@
         .collect()
 }
 
-/// Sets a key, as in `limits.attempts` or `tier.0.nodos`. Tables on the path are made where they are missing.
+/// Sets a dotted key such as `limits.attempts` or `tier.0.nodos`. Missing tables on the path are created.
 fn set_key(table: &mut Table, key: &str, value: &str) -> Result<(), OverrideError> {
     let value = parse_value(value);
     let mut segments: Vec<&str> = key.split('.').collect();
@@ -182,7 +182,7 @@
     Ok(())
 }
 
-/// A value that is no TOML stands for itself, so that times need no quotes.
+/// Parses a TOML value. Text that is not valid TOML becomes a string, so that durations need no quotes.
 fn parse_value(text: &str) -> Value {
     let table = format!("value = {text}").parse::<Table>().ok();
     let value = table.and_then(|mut table| table.remove("value"));
--- a/crates/emulator-cli/src/scenario_file/tests.rs
+++ b/crates/emulator-cli/src/scenario_file/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of keys that are set.
+//! Tests of overrides of scenario keys.
 
 use super::*;
 
--- a/crates/emulator-cli/src/sweep.rs
+++ b/crates/emulator-cli/src/sweep.rs
@@ -1,4 +1,5 @@
-//! Many runs on all cores. Their rows are in order and complete, whenever it is interrupted.
+//! Runs the jobs of a sweep in parallel. Rows are written in the order of the jobs and without gaps, so that an
+//! interrupted sweep can be resumed.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::collections::BTreeMap;
@@ -10,59 +11,59 @@
 use woadstall_emulator_cli::grid::Job;
 use woadstall_emulator_cli::rows::{self, Row, RowError};
 
-/// How a sweep is run.
+/// Options of a sweep.
 pub struct Options {
-    /// Where the rows go, as JSON lines.
+    /// Path of the output file, which has one row as JSON on each line.
     pub out: PathBuf,
-    /// Whether rows keep their timelines: some hundred KB a run.
+    /// Whether rows include their timelines, which take several hundred KB per run.
     pub timeline: bool,
-    /// Threads; 0 for one a core.
+    /// Number of threads; 0 means one thread per core.
     pub threads: usize,
 }
 
-/// How a sweep ended.
+/// The outcome of a sweep.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SweepOutcome {
-    /// Rows that are in the file now.
+    /// Number of rows in the file at the end of the sweep.
     pub rows: usize,
-    /// Of them those that were there before.
+    /// Number of rows that were in the file before the sweep.
     pub before: usize,
-    /// Breaches of rules in the rows of this sweep.
+    /// Number of rule breaches in the rows that this sweep added.
     pub broken: u64,
 }
 
-/// Why a sweep failed.
+/// The reason why a sweep failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SweepError {
-    /// The file's rows could not be read, or one not be written as JSON.
+    /// The existing rows could not be read, or a new row could not be serialized as JSON.
     #[error(transparent)]
     Rows(#[from] RowError),
-    /// The file has more rows than the sweep.
+    /// The file has more rows than the sweep has runs.
     #[error("{path}: has {rows} rows, of {jobs} of this sweep")]
     TooManyRows {
         /// Path of the file.
         path: String,
-        /// Its rows.
+        /// Number of rows in the file.
         rows: usize,
-        /// Runs of the sweep.
+        /// Number of runs in the sweep.
         jobs: usize,
     },
-    /// The file has a row of another sweep.
+    /// The file contains a row of another sweep.
     #[error("{path}: line {line}: a row of another sweep; name another file")]
     OtherSweep {
         /// Path of the file.
         path: String,
-        /// The line, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
     },
-    /// The file has a row of another build of this program.
+    /// The file contains a row written by another build of this program.
     #[error("{path}: line {line}: a row of another build, {commit}")]
     OtherBuild {
         /// Path of the file.
         path: String,
-        /// The line, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// The commit of that build.
+        /// The commit of the build that wrote the row.
         commit: String,
     },
     /// The file could not be read or written.
@@ -70,10 +71,10 @@
     File {
         /// Path of the file.
         path: String,
-        /// The failed system call.
+        /// Error of the failed system call.
         source: io::Error,
     },
-    /// The threads did not start.
+    /// The thread pool could not be started.
     #[error(transparent)]
     Threads(#[from] rayon::ThreadPoolBuildError),
 }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Runs the jobs whose rows are not in the file yet. What is there must be rows of these jobs, in their order.
+/// Runs the jobs that have no row in the file yet. The rows in the file must belong to the first jobs, in the same order.
 ///
 /// # Errors
 ///
@@ -108,7 +109,8 @@
     let outcome = std::thread::scope(|scope| {
         let progress = &progress;
         scope.spawn(move || {
-            // First in, first out: rows come about in their order, and the least is lost when it is stopped.
+            // First-in, first-out order keeps rows close to the order of the jobs, so that an interrupt loses the
+            // fewest finished rows.
             pool.scope_fifo(|scope| {
                 for (number, job) in jobs.iter().enumerate().skip(before) {
                     let sender = sender.clone();
@@ -129,7 +131,7 @@
     Ok(outcome)
 }
 
-/// The rows that the file has already, all of them the first ones of this sweep.
+/// Returns the number of rows in the file, after checking that they are the first rows of this sweep.
 fn count_rows(jobs: &[Job], out: &Path) -> Result<usize, SweepError> {
     if !out.exists() {
         return Ok(0);
@@ -158,7 +160,8 @@
     Ok(rows.len())
 }
 
-/// Opens the file to append to its first rows. It is written anew up to there: the last line may be incomplete.
+/// Opens the file for appending after its first `rows` rows. The file is first rewritten without later text, since its
+/// last line may be incomplete.
 fn open_after(out: &Path, rows: usize) -> io::Result<File> {
     let text = if rows > 0 {
         std::fs::read_to_string(out)?
@@ -182,7 +185,7 @@
     progress
 }
 
-/// Appends rows in the order of their jobs; one that comes early waits for those before it.
+/// Appends rows in the order of their jobs. A row is held in memory until all rows before it are written.
 fn write_in_order(
     receiver: mpsc::Receiver<(usize, Row)>,
     file: File,
--- a/crates/emulator-cli/tests/cli.rs
+++ b/crates/emulator-cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command as its users run it.
+//! End-to-end tests of the `woadstall-emulator-cli` binary.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -61,7 +61,7 @@
     "--out",
 ];
 
-/// A run prints the rules and its worth, as text and as JSON, and draws its plots.
+/// `run` prints the rules as text and the row as JSON, and writes a page with plots.
 #[test]
 fn run_prints_rules_and_draws_plots() {
     let (_guard, folder) = folder();
@@ -72,7 +72,7 @@
     assert!(page.matches("<svg").count() >= 8 && page.ends_with("</html>\n"));
     assert!(
         !page.contains("src=") && !page.contains("href="),
-        "it opens without a network"
+        "the page must load nothing over the network"
     );
     let output = emulator(
         &folder,
@@ -94,7 +94,7 @@
     assert_eq!(row["end"]["steps"].as_array().unwrap().len(), 2);
 }
 
-/// A report writes each plot of the timelines as a file of its own.
+/// `report --svg` writes each plot of the timelines to a separate SVG file.
 #[test]
 fn report_writes_plots_as_files() {
     let (_guard, folder) = folder();
@@ -121,7 +121,8 @@
     assert!(plot.starts_with("<svg") && plot.ends_with("</svg>") && plot.contains("xmlns"));
 }
 
-/// Any number of threads, complete or interrupted in the middle of a line and resumed: the same bytes.
+/// A sweep writes the same bytes with any number of threads, also when it is interrupted in the middle of a line and
+/// resumed.
 #[test]
 fn sweep_resumes_where_it_was_interrupted() {
     let (_guard, folder) = folder();
@@ -138,7 +139,7 @@
     assert!(sweep("four.jsonl", "4") == complete);
     std::fs::write(folder.join("cut.jsonl"), &complete[..complete.len() / 2]).unwrap();
     assert!(sweep("cut.jsonl", "2") == complete);
-    // The rows of another sweep are not resumed.
+    // A sweep refuses to resume a file with rows of another sweep.
     let output = emulator(
         &folder,
         &["sweep", "tiny.toml", "--seeds", "9", "--out", "one.jsonl"],
@@ -162,7 +163,7 @@
     );
     assert!(
         std::fs::read_to_string(folder.join("one.jsonl")).unwrap() == complete,
-        "and are kept"
+        "a refused sweep must keep the existing rows"
     );
 }
 
@@ -187,7 +188,7 @@
     let rows = rows.as_array().unwrap();
     assert_eq!(rows.len(), 2);
     assert!(rows.iter().all(|row| row["pairs"] == 4), "{rows:?}");
-    // Half the nodos are not enough for anyone, and for random choice least of all.
+    // With half the hosts, no policy can serve all calls, and random choice serves the fewest.
     assert!(rows[0]["difference"].as_f64().unwrap() < 0.0, "{rows:?}");
     assert_eq!(
         compare(&[&sides[..], &["--fail-worse"]].concat())
