--- a/crates/benchmarks/src/callers.rs
+++ b/crates/benchmarks/src/callers.rs
@@ -1,4 +1,4 @@
-//! A process of callers, which call upstreams in one of several ways and print their figures.
+//! A load generator process, which calls upstreams with one call method and prints its measurement.
 
 use crate::clients::{CallMethod, ClientService, Clients, request};
 use crate::error::BenchmarkError;
@@ -15,35 +15,35 @@
 use tower::ServiceExt;
 use tower_service::Service;
 
-/// How long callers call before they are measured.
+/// Duration of the calls before the measurement starts.
 const WARM_UP: Duration = Duration::from_millis(300);
 
-/// The load that a process of callers makes.
+/// The load that a process of callers generates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLoad {
-    /// Tasks, each with one call at a time.
+    /// Number of tasks; each task makes one call at a time.
     pub tasks: usize,
-    /// Worker threads of the runtime.
+    /// Number of worker threads of the runtime.
     pub threads: usize,
-    /// Calls a second of all tasks; 0 for as many as can be.
+    /// Total number of calls per second of all tasks; 0 for no limit.
     pub rate: u64,
 }
 
 impl CallerLoad {
-    /// Time between the calls of one task; `None` where each follows on the one before.
+    /// Returns the time between the calls of one task, or `None` if each call follows the previous call immediately.
     fn interval(&self) -> Option<Duration> {
         (self.rate > 0).then(|| Duration::from_secs_f64(self.tasks as f64 / self.rate as f64))
     }
 }
 
-/// What a task's calls came to.
+/// Latencies and failures of a task's calls.
 #[derive(Default)]
 struct CallLog {
     latencies_ns: Vec<u32>,
     failed: u64,
 }
 
-/// Calls one after another until the time is over; hands the client back for the next stretch.
+/// Makes calls sequentially until `until`. Returns the client as well, for reuse after the warm-up.
 async fn call_until(
     mut client: ClientService,
     until: Instant,
@@ -71,7 +71,7 @@
     (client, log)
 }
 
-/// Starts the tasks, at even distances within the first interval.
+/// Starts the tasks, evenly spaced over the first interval.
 fn spawn_tasks(
     clients: &Clients,
     method: CallMethod,
@@ -124,12 +124,12 @@
     ))
 }
 
-/// Runs as a process of callers for one round, and prints its figures as JSON.
+/// Runs the process of callers for one round, and prints the measurement as JSON.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Io`] and [`BenchmarkError::Http2`], if an upstream cannot be reached;
-/// [`BenchmarkError::Plugin`], if the plug-in does not start; [`BenchmarkError::Task`], if a task panics.
+/// Returns [`BenchmarkError::Io`] or [`BenchmarkError::Http2`] if an upstream cannot be reached,
+/// [`BenchmarkError::Plugin`] if the plug-in does not start, and [`BenchmarkError::Task`] if a task panics.
 pub fn run(
     length: Duration,
     method: CallMethod,
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// Runs one round of callers in a process of their own.
+/// Runs one round of callers in a separate process.
 fn run_process(
     length: Duration,
     method: CallMethod,
@@ -173,12 +173,13 @@
     Ok(Measurement::from_json(&output.stdout)?)
 }
 
-/// Measures several ways of calling, in turns, and gives the median of each, in their order.
+/// Measures several call methods in alternating rounds. Returns the median of each method in the order of `methods`.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Io`], if a process does not start; [`BenchmarkError::Json`], if it prints no figures.
-pub fn measure_in_turns(
+/// Returns [`BenchmarkError::Io`] if a process does not start, and [`BenchmarkError::Json`] if a process prints no
+/// measurement.
+pub fn measure_alternately(
     plan: MeasurementPlan,
     methods: &[CallMethod],
     load: CallerLoad,
--- a/crates/benchmarks/src/clients.rs
+++ b/crates/benchmarks/src/clients.rs
@@ -1,4 +1,4 @@
-//! The ways to call that are compared: a direct connection, `tower::balance::p2c`, and the plug-in.
+//! The compared call methods: a direct connection, `tower::balance::p2c`, and the plug-in.
 
 use crate::direct::{CallFailed, DirectClient};
 use crate::error::BenchmarkError;
@@ -21,10 +21,10 @@
 use tower_service::Service;
 use woadstall_tower::Balance;
 
-/// Requests that wait in the buffer before the shared p2c balancer at most.
+/// The largest number of requests in the buffer of the shared p2c balancer.
 const BUFFER_BOUND: usize = 1024;
 
-/// How a caller calls.
+/// The method by which a caller makes its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum CallMethod {
     /// One connection to each upstream, in turn.
@@ -37,28 +37,28 @@
     Plugin,
 }
 
-/// What a task calls through.
+/// The type-erased client of one task.
 pub type ClientService = BoxService<Request<()>, Bytes, CallFailed>;
 
 type P2cBalance = p2c::Balance<ServiceList<Vec<PendingRequests<DirectClient>>>, Request<()>>;
 type SharedP2c = Buffer<Request<()>, <P2cBalance as Service<Request<()>>>::Future>;
 
-/// What the clients of all tasks share.
+/// Connections and balancers shared by the clients of all tasks.
 pub struct Clients {
     direct: Vec<DirectClient>,
     p2c: SharedP2c,
     plugin: Balance,
-    /// Number of the next direct call, which chooses its upstream.
+    /// Number of the next direct call, which selects the upstream.
     next_call: Arc<AtomicUsize>,
 }
 
 impl Clients {
-    /// Connects to the upstreams in each way.
+    /// Connects to the upstreams for each call method.
     ///
     /// # Errors
     ///
-    /// [`BenchmarkError::Io`] and [`BenchmarkError::Http2`], if an upstream cannot be reached;
-    /// [`BenchmarkError::Plugin`], if the plug-in does not start.
+    /// Returns [`BenchmarkError::Io`] or [`BenchmarkError::Http2`] if an upstream cannot be reached, and
+    /// [`BenchmarkError::Plugin`] if the plug-in does not start.
     pub async fn connect(upstreams: &[SocketAddr]) -> Result<Self, BenchmarkError> {
         let mut direct = Vec::new();
         for &address in upstreams {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// A client for one task.
+    /// Creates a client for one task.
     pub fn client(&self, method: CallMethod) -> ClientService {
         match method {
             CallMethod::Direct => self.round_robin(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Direct calls to the upstreams in turn, over all tasks.
+    /// Creates a client that calls the upstreams directly, in one rotation over the calls of all tasks.
     fn round_robin(&self) -> ClientService {
         let (direct, next_call) = (self.direct.clone(), self.next_call.clone());
         BoxService::new(tower::service_fn(move |request| {
@@ -112,14 +112,14 @@
     }))
 }
 
-/// The request of every call.
+/// Returns the request that every call sends.
 pub fn request() -> Request<()> {
     let mut request = Request::new(());
     *request.uri_mut() = http::Uri::from_static("/look");
     request
 }
 
-/// Makes one call through the plug-in; whether it ended with the upstream's response.
+/// Makes one call through the plug-in, and returns whether the upstream's response arrived.
 pub async fn call_through_plugin(plugin: &mut Balance) -> bool {
     let request = request().map(|()| Empty::<Bytes>::new());
     let Ok::<_, Infallible>(response) = plugin.call(request).await;
--- a/crates/benchmarks/src/daemon.rs
+++ b/crates/benchmarks/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Two builds of the daemon against a proxy that decides nothing, over the same upstream.
+//! Compares two builds of the daemon with a proxy without load balancing, over the same upstream.
 
 use crate::error::BenchmarkError;
 use crate::measurement::{Measurement, MeasurementPlan, table_header};
@@ -16,23 +16,24 @@
 use tokio::time::Instant;
 use woadstall_socket_options::set_nodelay;
 
-/// How long callers call before a round is measured.
+/// Duration of the calls before a round is measured.
 const WARM_UP: Duration = Duration::from_millis(200);
 
-/// Callers of a round have numbers from here on, those of its warm-up from 0 on: no call has another's id.
+/// Number of the first measured caller of a round. Callers of the warm-up have smaller numbers, so that call ids within
+/// a round are unique.
 const FIRST_MEASURED_CALLER: usize = 0x1000;
 
-/// Bytes that a response has at most.
+/// The largest accepted response, in bytes.
 const MAX_RESPONSE: usize = 1024;
 
-/// What a caller's calls came to.
+/// Latencies and failures of a caller's calls.
 #[derive(Default)]
 struct CallLog {
     latencies_ns: Vec<u32>,
     failed: u64,
 }
 
-/// A daemon in front of one upstream. Its configuration lies in a file until it has started.
+/// Starts a daemon in front of one upstream. The configuration file is deleted after the daemon has started.
 fn start_daemon(program: &Path, upstream: SocketAddr) -> Result<PeerProcess, BenchmarkError> {
     let target = woadstall_mock_servers::http1::target("s-0", upstream, "in_service");
     let mut config = woadstall_mock_servers::http1::config(
@@ -52,7 +53,7 @@
     daemon
 }
 
-/// Calls one after another on one connection until the time is over.
+/// Makes calls sequentially on one connection until `until`.
 async fn call_until(
     address: SocketAddr,
     caller: usize,
@@ -79,8 +80,8 @@
     Ok(log)
 }
 
-/// Reads one response; whether it is the upstream's own. All responses are small, and end with the upstream's
-/// body where they are good.
+/// Reads one response, and returns whether the response is the upstream's. Responses fit into the buffer, and
+/// successful responses end with the upstream's body.
 async fn read_response(tcp: &mut TcpStream, buffer: &mut [u8]) -> Result<bool, std::io::Error> {
     let mut length = 0;
     while !buffer[..length].ends_with(RESPONSE_BODY) {
@@ -129,12 +130,13 @@
     ))
 }
 
-/// Measures the floor and both builds of the daemon in turns, with 1, 64 and 256 callers, and prints a table each.
+/// Measures the proxy and both builds of the daemon in alternating rounds with 1, 64 and 256 callers, and prints a
+/// table for each number of callers.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Io`] and [`BenchmarkError::NoAddress`], if a peer does not start; [`BenchmarkError::Io`], if a
-/// caller's connection fails.
+/// Returns [`BenchmarkError::Io`] or [`BenchmarkError::NoAddress`] if a peer does not start, and [`BenchmarkError::Io`]
+/// if a caller's connection fails.
 pub fn run(plan: MeasurementPlan, before: &Path, after: &Path) -> Result<(), BenchmarkError> {
     let upstream = PeerProcess::start_self(&["upstream".into()])?;
     let proxy = PeerProcess::start_self(&["proxy".into(), upstream.address.to_string()])?;
--- a/crates/benchmarks/src/direct.rs
+++ b/crates/benchmarks/src/direct.rs
@@ -1,4 +1,4 @@
-//! A client with nothing around its connection.
+//! An HTTP/2 client without load balancing, buffering or retries.
 
 use crate::error::BenchmarkError;
 use bytes::Bytes;
@@ -12,12 +12,12 @@
 use tower_service::Service;
 use woadstall_socket_options::set_nodelay;
 
-/// A call did not end with its response.
+/// Error of a call that did not end with a response.
 #[derive(Debug, thiserror::Error)]
 #[error("the call did not end with its answer")]
 pub struct CallFailed;
 
-/// Calls on one HTTP/2 connection. Clones share it.
+/// A client with one HTTP/2 connection, which clones share.
 #[derive(Clone)]
 pub struct DirectClient {
     sender: SendRequest<Bytes>,
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// [`BenchmarkError::Io`] and [`BenchmarkError::Http2`], if the upstream cannot be reached.
+    /// Returns [`BenchmarkError::Io`] or [`BenchmarkError::Http2`] if the upstream cannot be reached.
     pub async fn connect(address: SocketAddr) -> Result<Self, BenchmarkError> {
         let tcp = TcpStream::connect(address).await?;
         set_nodelay(&tcp);
@@ -38,7 +38,8 @@
         Ok(Self { sender, address })
     }
 
-    /// Sends a request and reads its response to the end; the last chunk of its body, or `None` if it failed.
+    /// Sends a request and reads the response to its end. Returns the last chunk of the body, or `None` if the call
+    /// failed.
     pub async fn send(self, mut request: Request<()>) -> Option<Bytes> {
         let Self {
             mut sender,
--- a/crates/benchmarks/src/error.rs
+++ b/crates/benchmarks/src/error.rs
@@ -1,18 +1,18 @@
-//! What may go wrong in a measurement.
+//! The error type of the benchmarks.
 
 use std::io;
 use woadstall_tower::BuildError;
 
-/// Why a measurement could not be made.
+/// The reason why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchmarkError {
     /// A process, a file or a socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A peer ended, or began, without the address that it listens on.
+    /// The first line of a peer's output does not end with the peer's address, or the peer ended without output.
     #[error("no address in {line:?}")]
     NoAddress {
-        /// Its first line.
+        /// The first line of the peer's output.
         line: String,
     },
     /// A connection over HTTP/1.1 failed.
@@ -21,7 +21,7 @@
     /// A connection over HTTP/2 failed.
     #[error(transparent)]
     Http2(#[from] h2::Error),
-    /// A caller's figures, or the endpoint list, are not in their JSON form.
+    /// The measurement of a caller or the endpoint list is not valid JSON of the expected form.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The plug-in could not be set up.
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,10 +1,13 @@
-//! Measures the daemon and the plug-in against plain peers, side by side in one run. Each peer is a process of its
-//! own, so that its CPU time is its own; rounds take turns, and medians are printed. Linux, release builds.
+//! Benchmarks of the daemon and the plug-in against baseline peers. Each peer runs in a separate process, so that its
+//! CPU time can be measured separately. The peers' rounds alternate, and the medians are printed. The benchmarks need
+//! Linux and a release build.
 //!
-//! - `plugin`: a call through the plug-in, through `tower::balance::p2c`, and direct, over the same HTTP/2 code;
-//! - `daemon BEFORE AFTER`: a request through two builds of the daemon and through a proxy that decides nothing;
-//! - `contention`: 1, 4 and 16 tasks on one plug-in;
-//! - `memory`: what a call holds while it waits.
+//! - `plugin`: compares a call through the plug-in, through `tower::balance::p2c` and on a direct connection, over the
+//!   same HTTP/2 code.
+//! - `daemon BEFORE AFTER`: compares a request through two builds of the daemon and through a proxy without load
+//!   balancing.
+//! - `contention`: measures 1, 4 and 16 tasks that share one plug-in.
+//! - `memory`: measures the memory of a call in flight.
 
 mod callers;
 mod clients;
--- a/crates/benchmarks/src/measurement.rs
+++ b/crates/benchmarks/src/measurement.rs
@@ -1,23 +1,23 @@
-//! The figures of a round, their median over the rounds, and their form as a table.
+//! The figures of a round, their median over several rounds, and their table format.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// How long rounds take, and how many there are.
+/// Length and number of the rounds.
 #[derive(Clone, Copy)]
 pub struct MeasurementPlan {
     /// Length of a round.
     pub length: Duration,
-    /// Rounds of each peer.
+    /// Number of rounds of each peer.
     pub rounds: u64,
 }
 
 /// The figures of one round.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Measurement {
-    /// Calls that were made.
+    /// Number of recorded latencies.
     pub calls: u64,
-    /// Calls that did not end with the response.
+    /// Number of calls that did not end with the expected response.
     pub failed: u64,
     /// CPU time per call, in microseconds.
     pub cpu_us: f64,
@@ -30,14 +30,15 @@
 }
 
 impl Measurement {
-    /// The figures of a round that took `elapsed`, from the latency of each call in nanoseconds.
+    /// Computes the figures of a round of length `elapsed` from the latency of each call in nanoseconds.
     pub fn new(latencies_ns: &[u32], failed: u64, cpu: Duration, elapsed: Duration) -> Self {
         let calls = latencies_ns.len() as u64;
-        // To three digits; it grows with what is recorded.
+        // The histogram has three significant digits, and its range grows with the recorded values.
         let mut histogram =
             Histogram::<u64>::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
         for &nanos in latencies_ns {
-            // Grows the histogram; `saturating_record` would clamp to the little that it spans at first.
+            // `record` extends the range of the histogram, while `saturating_record` would clamp to its small initial
+            // range.
             if histogram.record(nanos.into()).is_err() {
                 unreachable!("every `u32` fits into a histogram that grows");
             }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The median of each figure over the rounds; failures are added up.
+    /// Returns the median of each figure over the rounds, and the sum of the failures.
     pub fn median(rounds: &[Self]) -> Self {
         let median = |figure: fn(&Self) -> f64| {
             let mut figures: Vec<f64> = rounds.iter().map(figure).collect();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A line of the table whose first line is [`table_header`].
+    /// Returns a row of the table with the header [`table_header`].
     pub fn table_row(&self, name: &str) -> String {
         let rate = self.calls as f64 / self.seconds.max(1e-9);
         format!(
@@ -79,7 +80,7 @@
         )
     }
 
-    /// The form in which a caller's process hands its figures over: a JSON array.
+    /// Returns the measurement as a JSON array, which a caller process prints for its parent process.
     pub fn to_json(self) -> serde_json::Value {
         serde_json::json!([
             self.calls,
@@ -91,11 +92,11 @@
         ])
     }
 
-    /// Reads the form of [`Measurement::to_json`].
+    /// Parses the output of [`Measurement::to_json`].
     ///
     /// # Errors
     ///
-    /// Fails if the text is of another form.
+    /// Returns an error for text of another form.
     pub fn from_json(text: &[u8]) -> Result<Self, serde_json::Error> {
         let (calls, failed, cpu_us, p50_us, p99_us, seconds) = serde_json::from_slice(text)?;
         Ok(Self {
@@ -109,7 +110,7 @@
     }
 }
 
-/// The header of a table of [`Measurement::table_row`]s.
+/// Returns the header of a table with rows from [`Measurement::table_row`].
 pub fn table_header() -> String {
     format!(
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>7}",
--- a/crates/benchmarks/src/measurement/tests.rs
+++ b/crates/benchmarks/src/measurement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the figures of rounds.
+//! Tests of measurements and their median, JSON form and table.
 
 use super::*;
 
--- a/crates/benchmarks/src/memory.rs
+++ b/crates/benchmarks/src/memory.rs
@@ -1,4 +1,4 @@
-//! What a call takes while it is in flight, by the growth of the resident memory.
+//! Measures the memory of a call in flight from the growth of the resident memory.
 
 use crate::clients::{call_through_plugin, request};
 use crate::direct::DirectClient;
@@ -9,25 +9,25 @@
 use tokio::time::Instant;
 use woadstall_mock_servers::grpc::{GrpcUpstream, Reply};
 
-/// Calls in flight of each kind.
+/// Number of calls in flight for each call method.
 const CALLS: usize = 10_000;
 
-/// Concurrent streams that the upstream allows on a connection.
+/// Number of concurrent streams that the upstream allows on a connection.
 const MAX_STREAMS: u32 = 100_000;
 
-/// How often the upstream is asked how many calls have arrived.
+/// Interval between checks of the number of calls in flight at the upstream.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long the plug-in's calls may take to arrive; some wait for a stream for ever.
+/// The longest wait for the plug-in's calls to arrive; some calls wait for a stream indefinitely.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Measures direct calls and calls through the plug-in, and prints the bytes of each; the share of the mock upstream,
-/// which runs in the same process, is in them.
+/// Prints the bytes per call of direct calls and of calls through the plug-in. The mock upstream runs in the same
+/// process, so that the figures include its memory per call.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Io`] and [`BenchmarkError::Http2`], if the upstream cannot be reached;
-/// [`BenchmarkError::Plugin`], if the plug-in does not start.
+/// Returns [`BenchmarkError::Io`] or [`BenchmarkError::Http2`] if the upstream cannot be reached, and
+/// [`BenchmarkError::Plugin`] if the plug-in does not start.
 pub fn run() -> Result<(), BenchmarkError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/crates/benchmarks/src/plugin.rs
+++ b/crates/benchmarks/src/plugin.rs
@@ -1,16 +1,17 @@
-//! The plug-in against `tower::balance::p2c` and a direct call, over the same HTTP/2 connections.
+//! Compares the plug-in with `tower::balance::p2c` and direct calls over HTTP/2.
 
-use crate::callers::{CallerLoad, measure_in_turns};
+use crate::callers::{CallerLoad, measure_alternately};
 use crate::clients::CallMethod;
 use crate::error::BenchmarkError;
 use crate::measurement::{Measurement, MeasurementPlan, table_header};
 use crate::process::PeerProcess;
 
-/// Measures each way to call with one caller, with 64, and with 64 at 1,400 calls a second, and prints a table each.
+/// Measures each call method with 1 caller, with 64 callers, and with 64 callers at 1,400 calls per second, and prints
+/// a table for each load.
 ///
 /// # Errors
 ///
-/// As [`measure_in_turns`], and [`BenchmarkError::NoAddress`], if an upstream does not start.
+/// Returns the errors of [`measure_alternately`], and [`BenchmarkError::NoAddress`] if an upstream does not start.
 pub fn run(plan: MeasurementPlan) -> Result<(), BenchmarkError> {
     let upstreams = PeerProcess::start_upstreams(2)?;
     let methods = [
@@ -34,7 +35,7 @@
             threads: 2,
             rate,
         };
-        let medians = measure_in_turns(plan, &methods, load, &upstreams)?;
+        let medians = measure_alternately(plan, &methods, load, &upstreams)?;
         for (method, median) in methods.iter().zip(&medians) {
             println!("{}", median.table_row(&format!("{method:?}")));
         }
@@ -65,11 +66,11 @@
     );
 }
 
-/// Measures 1, 4 and 16 tasks that share one plug-in, beside direct calls.
+/// Measures 1, 4 and 16 tasks that share one plug-in, and the same numbers of tasks with direct calls.
 ///
 /// # Errors
 ///
-/// As [`run`].
+/// Returns the errors of [`run`].
 pub fn run_contention(plan: MeasurementPlan) -> Result<(), BenchmarkError> {
     let upstreams = PeerProcess::start_upstreams(1)?;
     println!(
@@ -83,7 +84,7 @@
             threads: 3,
             rate: 0,
         };
-        let medians = measure_in_turns(plan, &methods, load, &upstreams)?;
+        let medians = measure_alternately(plan, &methods, load, &upstreams)?;
         for (method, median) in methods.iter().zip(&medians) {
             println!(
                 "{}",
--- a/crates/benchmarks/src/process.rs
+++ b/crates/benchmarks/src/process.rs
@@ -1,33 +1,33 @@
-//! A peer of a measurement in a process of its own, so that its CPU time is its own.
+//! A peer of a measurement in a separate process, so that its CPU time can be measured separately.
 
 use crate::error::BenchmarkError;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 
-/// Where a program says which address it listens on.
+/// The stream to which a program writes its listen address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressSource {
-    /// At the end of its first line on standard output.
+    /// The address ends the first line on standard output.
     Stdout,
-    /// At the end of its first line on standard error.
+    /// The address ends the first line on standard error.
     Stderr,
 }
 
-/// A process that listens; it is killed when this is dropped.
+/// A listening process, which is killed when the handle is dropped.
 pub struct PeerProcess {
     child: Child,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub address: SocketAddr,
 }
 
 impl PeerProcess {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until the program writes its listen address.
     ///
     /// # Errors
     ///
-    /// [`BenchmarkError::Io`], if it cannot be started; [`BenchmarkError::NoAddress`], if its first line does not
-    /// end with an address.
+    /// Returns [`BenchmarkError::Io`] if the program cannot be started, and [`BenchmarkError::NoAddress`] if its first
+    /// line does not end with an address.
     pub fn start(command: &mut Command, source: AddressSource) -> Result<Self, BenchmarkError> {
         command.stdin(Stdio::null());
         match source {
@@ -51,28 +51,28 @@
         }
     }
 
-    /// Starts this program again, with other arguments.
+    /// Starts another process of this program with the given arguments.
     ///
     /// # Errors
     ///
-    /// As [`PeerProcess::start`].
+    /// Returns the errors of [`PeerProcess::start`].
     pub fn start_self(arguments: &[String]) -> Result<Self, BenchmarkError> {
         let mut command = Command::new(std::env::current_exe()?);
         Self::start(command.args(arguments), AddressSource::Stdout)
     }
 
-    /// Starts `count` upstreams that respond at once.
+    /// Starts `count` upstreams that respond immediately.
     ///
     /// # Errors
     ///
-    /// As [`PeerProcess::start`].
+    /// Returns the errors of [`PeerProcess::start`].
     pub fn start_upstreams(count: usize) -> Result<Vec<Self>, BenchmarkError> {
         (0..count)
             .map(|_| Self::start_self(&["upstream".into()]))
             .collect()
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/crates/benchmarks/src/procfs.rs
+++ b/crates/benchmarks/src/procfs.rs
@@ -1,8 +1,9 @@
-//! What the kernel says of a process: its CPU time and its memory (proc(5)).
+//! CPU time and memory of a process, as reported by the kernel (proc(5)).
 
 use std::time::Duration;
 
-/// CPU time that all threads of a process have used, to the nanosecond (`schedstat`); zero if there is none.
+/// Returns the CPU time of all threads of a process in nanosecond resolution (`schedstat`), or zero if there is no such
+/// process.
 pub fn cpu_time(process_id: u32) -> Duration {
     let tasks = std::fs::read_dir(format!("/proc/{process_id}/task"))
         .into_iter()
@@ -15,7 +16,7 @@
     Duration::from_nanos(nanos.sum())
 }
 
-/// Resident memory of a process, in bytes; zero if there is none.
+/// Returns the resident memory of a process in bytes, or zero if there is no such process.
 pub fn resident_memory(process_id: u32) -> u64 {
     const KIB: u64 = 1024;
     let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).unwrap_or_default();
--- a/crates/benchmarks/src/servers.rs
+++ b/crates/benchmarks/src/servers.rs
@@ -1,4 +1,4 @@
-//! The plain peers: an upstream that responds at once, and a proxy that decides nothing.
+//! The baseline peers: an upstream that responds immediately, and a proxy without load balancing.
 
 use crate::error::BenchmarkError;
 use bytes::Bytes;
@@ -15,12 +15,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use woadstall_socket_options::set_nodelay;
 
-/// The body of every response of the upstream.
+/// Body of every response of the upstream.
 pub const RESPONSE_BODY: &[u8] = b"done";
 
 type Upstream = SendRequest<Full<Bytes>>;
 
-/// Connections to the upstream that no request uses.
+/// Idle connections to the upstream.
 #[derive(Clone, Default)]
 struct IdleConnections(Arc<Mutex<Vec<Upstream>>>);
 
@@ -29,7 +29,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The one that was used last, or a new one.
+    /// Returns the most recently used idle connection if it is still open, and a new connection otherwise.
     async fn take(&self, upstream: SocketAddr) -> Result<Upstream, BenchmarkError> {
         let idle = self.lock().pop();
         if let Some(sender) = idle.filter(|sender| !sender.is_closed()) {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Listens on a free port and says on which.
+/// Listens on a free port and prints the address.
 async fn listen() -> Result<TcpListener, std::io::Error> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     println!("listening on {}", listener.local_addr()?);
@@ -56,11 +56,11 @@
         .build()
 }
 
-/// Responds to everything at once, over HTTP/1.1 and HTTP/2; ends when it is killed.
+/// Runs an upstream that responds to all requests immediately, over HTTP/1.1 and HTTP/2, until the process is killed.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Io`], if it can no longer listen.
+/// Returns [`BenchmarkError::Io`] if the server cannot listen or accept connections.
 pub fn run_upstream() -> Result<(), BenchmarkError> {
     single_threaded()?.block_on(async {
         let listener = listen().await?;
@@ -83,11 +83,12 @@
     })
 }
 
-/// The floor of a proxy's cost: hyper on both sides, one upstream, persistent connections, and no decision at all.
+/// Runs a proxy with the lowest possible cost for comparison: hyper on both sides, one upstream, persistent
+/// connections, and no load balancing.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Io`], if it can no longer listen.
+/// Returns [`BenchmarkError::Io`] if the server cannot listen or accept connections.
 pub fn run_proxy(upstream: SocketAddr) -> Result<(), BenchmarkError> {
     single_threaded()?.block_on(async {
         let listener = listen().await?;
--- a/crates/benchmarks/src/settings.rs
+++ b/crates/benchmarks/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the daemon and the plug-in under measurement.
+//! Settings of the measured daemon and plug-in.
 
 use crate::error::BenchmarkError;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 /// Deadline of every class: 1.5 s.
 const DEADLINE_NS: u64 = 1_500_000_000;
 
-/// Gives all classes of the settings the times that the measurements need: far more than a call takes.
+/// Sets the latency target and the deadline of all classes to values far above the duration of a measured call.
 pub fn with_benchmark_times(settings: &mut Value) {
     for class in settings["Classes"].as_array_mut().into_iter().flatten() {
         class["AimNs"] = LATENCY_TARGET_NS.into();
@@ -18,11 +18,11 @@
     }
 }
 
-/// A plug-in over HTTP/2 that knows these upstreams.
+/// Starts a plug-in over HTTP/2 with a fixed list of upstreams.
 ///
 /// # Errors
 ///
-/// [`BenchmarkError::Plugin`], if it does not start.
+/// Returns [`BenchmarkError::Plugin`] if the plug-in does not start.
 pub fn start_plugin(upstreams: &[SocketAddr]) -> Result<Balance, BenchmarkError> {
     let mut settings =
         woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
