--- a/crates/emulator-cli/src/report.rs
+++ b/crates/emulator-cli/src/report.rs
@@ -50,7 +50,8 @@
         .replace('>', "&gt;")
 }
 
-/// Returns the HTML page for all rows. Fault bands are shaded in all line charts over time, and listed below the tables.
+/// Returns the HTML page for all rows. Fault bands are shaded in all line charts over time, and listed below the
+/// tables.
 ///
 /// # Errors
 ///
--- a/crates/emulator-cli/src/report/tables.rs
+++ b/crates/emulator-cli/src/report/tables.rs
@@ -50,8 +50,8 @@
     html + "</table>\n"
 }
 
-/// Returns a table of the costs apart from the requests' own work, with one line for each policy, set of overrides, tier
-/// and kind of cost, averaged over the seeds. Returns an empty string if the rows have no costs.
+/// Returns a table of the costs apart from the requests' own work, with one line for each policy, set of overrides,
+/// tier and kind of cost, averaged over the seeds. Returns an empty string if the rows have no costs.
 pub fn costs(rows: &[&Row]) -> String {
     let mut groups: BTreeMap<(String, String, String, String), Vec<&CostRow>> = BTreeMap::new();
     for row in rows {
--- a/crates/emulator-cli/src/scenario_file.rs
+++ b/crates/emulator-cli/src/scenario_file.rs
@@ -120,8 +120,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ScenarioFileError::Override`] if a key cannot be overridden, and [`ScenarioFileError::Scenario`] if the
-    /// scenario with its overrides is invalid.
+    /// Returns [`ScenarioFileError::Override`] if a key cannot be overridden, and [`ScenarioFileError::Scenario`] if
+    /// the scenario with its overrides is invalid.
     pub fn with(&self, set: &Overrides) -> Result<(Scenario, String), ScenarioFileError> {
         let mut table = self.table.clone();
         for (key, value) in set {
--- a/crates/emulator-cli/src/sweep.rs
+++ b/crates/emulator-cli/src/sweep.rs
@@ -88,7 +88,8 @@
     }
 }
 
-/// Runs the jobs that have no row in the file yet. The rows in the file must belong to the first jobs, in the same order.
+/// Runs the jobs that have no row in the file yet. The rows in the file must belong to the first jobs, in the same
+/// order.
 ///
 /// # Errors
 ///
