--- a/tests/coordination_soak.rs
+++ b/tests/coordination_soak.rs
@@ -1,8 +1,11 @@
-//! The coordination service on processes under faults that a seed draws, with clients whose history
-//! is checked against the users' rules.
+//! Soak test of the coordination service: real processes under seeded random faults. The history
+//! that the clients record is checked against the guarantees of the service.
 //!
-//! `WOADSTALL_SOAK_SEEDS` (a number, or a range such as `7..20`), `WOADSTALL_SOAK_SECONDS` and
-//! `WOADSTALL_SOAK_CLIENTS` make it longer; `WOADSTALL_SOAK_LOGS` names a folder for the processes' logs.
+//! Environment variables:
+//! - `WOADSTALL_SOAK_SEEDS`: a range such as `7..20`, or a number `n` for `0..n`.
+//! - `WOADSTALL_SOAK_SECONDS`: seconds of fault injection per seed.
+//! - `WOADSTALL_SOAK_CLIENTS`: the number of clients.
+//! - `WOADSTALL_SOAK_LOGS`: a directory for the logs of the processes.
 
 #[path = "coordination_soak/caller.rs"]
 mod caller;
@@ -42,17 +45,18 @@
     fronts: 0,
     tolerated_failures: 2,
 };
-/// Seeds and seconds of faults where nothing else is asked for.
+/// Seeds if `WOADSTALL_SOAK_SEEDS` is not set.
 const SEEDS: Range<u64> = 0..2;
+/// Seconds of fault injection if `WOADSTALL_SOAK_SECONDS` is not set.
 const FAULT_SECONDS: u64 = 8;
-/// Clients, drawn by the seed.
+/// Range from which the seed draws the number of clients.
 const CLIENTS: Range<usize> = 12..41;
-/// How long a system that starts may take to answer.
+/// Time limit from the start of the system to its first executed call.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long after the last fault everything acknowledged must have been read back.
+/// Time limit, from the restart after the last fault, for reading back all acknowledged data.
 const RECOVERY: Duration = Duration::from_secs(15);
 
-fn variable<T: std::str::FromStr>(name: &str) -> Option<T> {
+fn env_variable<T: std::str::FromStr>(name: &str) -> Option<T> {
     std::env::var(name).ok()?.parse().ok()
 }
 
@@ -65,15 +69,15 @@
     parse(first)..parse(last)
 }
 
-fn log_folder(seed: u64) -> Option<PathBuf> {
-    let folder = PathBuf::from(std::env::var_os("WOADSTALL_SOAK_LOGS")?).join(seed.to_string());
-    std::fs::create_dir_all(&folder).expect("a folder for logs");
-    Some(folder)
+fn log_directory(seed: u64) -> Option<PathBuf> {
+    let directory = PathBuf::from(std::env::var_os("WOADSTALL_SOAK_LOGS")?).join(seed.to_string());
+    std::fs::create_dir_all(&directory).expect("the log directory can be created");
+    Some(directory)
 }
 
-/// The system once it executes calls.
-fn start(run: &Arc<Run>, log_folder: Option<PathBuf>) -> (System, Vec<SocketAddr>) {
-    let system = System::start_layout(&program_path(), LAYOUT, log_folder);
+/// Starts the system and waits until it executes calls.
+fn start(run: &Arc<Run>, log_directory: Option<PathBuf>) -> (System, Vec<SocketAddr>) {
+    let system = System::start_layout(&program_path(), LAYOUT, log_directory);
     let addresses: Vec<SocketAddr> = (0..LAYOUT.cores).map(|core| system.control(core)).collect();
     let mut caller = Caller::new(run.clone(), addresses.clone(), 0);
     let request = Request::new("POST", "/v1/numbers/n0".to_owned(), &json!({}));
@@ -95,21 +99,21 @@
         let name = format!("c{number}");
         let seed = seed * 1_000 + u64::try_from(number).expect("a small number");
         let client = Client::new(name, run.clone(), caller, seed);
-        thread::spawn(|| client.work())
+        thread::spawn(|| client.run())
     };
     (0..count).map(start).collect()
 }
 
-/// Plays a seed; panics with what it finds.
-fn play(seed: u64) {
+/// Runs the soak with a seed; panics with the violations that it finds.
+fn run_seed(seed: u64) {
     let run = Arc::new(Run::new(LAYOUT.cores));
-    let (system, addresses) = start(&run, log_folder(seed));
-    let drawn = fastrand::Rng::with_seed(seed).usize(CLIENTS);
-    let count = variable("WOADSTALL_SOAK_CLIENTS").unwrap_or(drawn);
+    let (system, addresses) = start(&run, log_directory(seed));
+    let drawn_count = fastrand::Rng::with_seed(seed).usize(CLIENTS);
+    let count = env_variable("WOADSTALL_SOAK_CLIENTS").unwrap_or(drawn_count);
     let clients = start_clients(&run, &addresses, count, seed);
-    let seconds = variable("WOADSTALL_SOAK_SECONDS").unwrap_or(FAULT_SECONDS);
+    let seconds = env_variable("WOADSTALL_SOAK_SECONDS").unwrap_or(FAULT_SECONDS);
     let mut faults = Faults::new(system, run.clone(), LAYOUT.cores, seed);
-    faults.play(Instant::now() + Duration::from_secs(seconds));
+    faults.inject(Instant::now() + Duration::from_secs(seconds));
     let is_stable = faults.wait_until_stable();
     if !is_stable {
         let statuses = faults.statuses();
@@ -119,7 +123,7 @@
     run.is_over.store(true, Ordering::Relaxed);
     let mut history = History::default();
     for client in clients {
-        history.merge(client.join().expect("a client"));
+        history.merge(client.join().expect("the client thread does not panic"));
     }
     let caller = Caller::new(run.clone(), addresses, 0);
     let reader = Client::new("reader".to_owned(), run.clone(), caller, seed);
@@ -133,7 +137,7 @@
     println!(
         "seed {seed}: clients {count}, calls {}, holds {}, numbers {}, puts {}, reads {}, watches {}, recovery {recovery:?}",
         run.executed(),
-        history.holds.len(),
+        history.leases.len(),
         history.numbers.len(),
         history.puts.len(),
         history.reads.len(),
@@ -146,5 +150,5 @@
 
 #[test]
 fn keeps_the_rules_under_faults() {
-    seeds().for_each(play);
+    seeds().for_each(run_seed);
 }
--- a/tests/coordination_soak/caller.rs
+++ b/tests/coordination_soak/caller.rs
@@ -1,4 +1,5 @@
-//! A client that keeps its connection to a core machine until that fails, refuses or is silent.
+//! An HTTP client that keeps its connection to one core server, and switches to the next server if
+//! the connection fails, a request is refused or an answer does not arrive in time.
 
 use super::cores::Run;
 use serde_json::Value;
@@ -9,25 +10,25 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::Message;
 
-/// A client goes to another machine after this time without an answer.
+/// The client switches to another server after this time without an answer.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A machine that runs must have answered by then, or its process has ended.
+/// A server whose process runs must answer within this time; otherwise the call counts as lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a client that waits checks whether its machine is disturbed.
+/// How often a client that waits for an answer checks whether a fault disturbs its server.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An HTTP request of the service.
+/// An HTTP request to the coordination service.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub method: &'static str,
     pub path: String,
     pub body: String,
-    /// How long the machine may wait before it answers.
+    /// How long the server may delay its answer, as for a watch.
     pub wait: Duration,
 }
 
 impl Request {
-    /// A request that is answered at once.
+    /// Creates a request that the server answers without delay.
     pub fn new(method: &'static str, path: String, body: &Value) -> Self {
         Self {
             method,
@@ -38,14 +39,14 @@
     }
 }
 
-/// What came of a request that was sent once.
+/// The outcome of sending a request once.
 #[derive(Debug)]
 enum Attempt {
-    /// It was executed, or rejected for its content.
+    /// The status and body: the request was executed, or rejected for its content.
     Answer(u16, Value),
-    /// It has not taken effect and never will.
+    /// The request has not taken effect and never will.
     Refused,
-    /// It may have taken effect.
+    /// The request may have taken effect.
     Unclear,
 }
 
@@ -54,36 +55,38 @@
 pub struct Answer {
     pub status: u16,
     pub body: Value,
-    /// When the attempt that was answered was sent.
+    /// When the answered attempt was sent, since the beginning of the run.
     pub sent: Duration,
+    /// When the answer was received, since the beginning of the run.
     pub received: Duration,
 }
 
 impl Answer {
-    /// A number of the answer; 0 where it is missing.
+    /// A numeric field of the body; 0 if the field is missing.
     pub fn number(&self, field: &str) -> u64 {
         self.body[field].as_u64().unwrap_or_default()
     }
 }
 
-/// A request that was given up. Whether it may have taken effect.
+/// The error for a request that was given up without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
+    /// Whether the request may have taken effect.
     pub is_unclear: bool,
 }
 
-/// The client.
+/// A client with at most one open connection.
 #[derive(Debug)]
 pub struct Caller {
     run: Arc<Run>,
     addresses: Vec<SocketAddr>,
-    /// The machine that it calls.
+    /// The index of the server that receives the next call.
     core: usize,
     connection: Option<BufReader<TcpStream>>,
 }
 
 impl Caller {
-    /// A client that calls this machine first.
+    /// Creates a client that sends its first call to the server `core`.
     pub fn new(run: Arc<Run>, addresses: Vec<SocketAddr>, core: usize) -> Self {
         Self {
             run,
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Sends a request until it is answered or given up: after so many refusals, or once the run is
-    /// over and `until` has passed.
+    /// Sends a request repeatedly until it is answered. Gives up after `max_refusals` refusals, or
+    /// after `until`; without `until`, at the end of the run.
     pub fn call(
         &mut self,
         request: &Request,
@@ -102,7 +105,7 @@
         until: Option<Instant>,
     ) -> Result<Answer, GivenUp> {
         let (mut refusals, mut is_unclear) = (0, false);
-        while refusals < max_refusals && !self.is_over(until) {
+        while refusals < max_refusals && !self.is_expired(until) {
             let sent = self.run.now();
             match self.attempt(request, Instant::now()) {
                 Attempt::Answer(status, body) => {
@@ -118,7 +121,7 @@
                 Attempt::Refused => refusals += 1,
                 Attempt::Unclear => is_unclear = true,
             }
-            self.go_on();
+            self.switch_server();
             if self.core == 0 {
                 self.run.wait_for_change();
             }
@@ -126,13 +129,13 @@
         Err(GivenUp { is_unclear })
     }
 
-    /// The next call goes to the next machine.
-    pub fn go_on(&mut self) {
+    /// Closes the connection, so that the next call goes to the next server.
+    pub fn switch_server(&mut self) {
         self.core = (self.core + 1) % self.addresses.len();
         self.connection = None;
     }
 
-    fn is_over(&self, until: Option<Instant>) -> bool {
+    fn is_expired(&self, until: Option<Instant>) -> bool {
         match until {
             Some(until) => Instant::now() > until,
             None => self.run.is_over.load(Ordering::Relaxed),
@@ -172,7 +175,7 @@
         }
     }
 
-    /// The open connection, or a new one.
+    /// Takes the open connection, or opens a new one.
     fn connect(&mut self) -> Option<BufReader<TcpStream>> {
         if let Some(connection) = self.connection.take() {
             return Some(connection);
@@ -183,16 +186,17 @@
         Some(BufReader::new(stream))
     }
 
-    /// Waits for the first bytes of an answer. A machine that runs must answer or end its process.
+    /// Waits for the first bytes of an answer and returns whether they arrived. Reports a violation if
+    /// an undisturbed server does not answer within `ANSWER_TIMEOUT` beyond the request's wait.
     fn await_answer(
         &self,
         connection: &mut BufReader<TcpStream>,
         request: &Request,
         sent: Instant,
     ) -> bool {
-        let core = u8::try_from(self.core).expect("few machines");
+        let core = u8::try_from(self.core).expect("the server index fits in a byte");
         let mut thread = self.run.main_thread(core);
-        let (mut starved, mut last_look) = (Duration::ZERO, Instant::now());
+        let (mut starved_time, mut last_check) = (Duration::ZERO, Instant::now());
         loop {
             match connection.fill_buf() {
                 Ok(bytes) => return !bytes.is_empty(),
@@ -203,9 +207,9 @@
             if let (Some(latest), Some(thread)) = (&latest, &thread)
                 && latest.has_starved_since(thread)
             {
-                starved += last_look.elapsed();
+                starved_time += last_check.elapsed();
             }
-            (thread, last_look) = (latest, Instant::now());
+            (thread, last_check) = (latest, Instant::now());
             let Some(since) = self.run.undisturbed_since(core, sent) else {
                 if sent.elapsed() > request.wait + CALLER_TIMEOUT {
                     return false;
@@ -216,7 +220,7 @@
                 let Request { method, path, .. } = request;
                 self.run.report(format!(
                     "LOST: no answer from core-{core} to {method} {path} within {:?}, \
-                     of which its process had no processor for {starved:?}: {thread:?}",
+                     of which its process had no processor for {starved_time:?}: {thread:?}",
                     sent.elapsed()
                 ));
                 return false;
--- a/tests/coordination_soak/client.rs
+++ b/tests/coordination_soak/client.rs
@@ -1,8 +1,9 @@
-//! The work of a client: it holds locks, takes numbers, puts, reads and watches.
+//! The workload of a client: a random mix of locks, numbers, puts, reads and watches. Each answer is
+//! recorded in the history of the client.
 
 use super::caller::{Answer, Caller, Request};
 use super::cores::Run;
-use super::history::{Entry, History, Hold, Number, Put, PutFate, Read, Span, WatchAnswer};
+use super::history::{Entry, History, Interval, Lease, Number, Put, PutOutcome, Read, WatchAnswer};
 use fastrand::Rng;
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -10,46 +11,48 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Names of each kind.
+/// Number of locks that the clients contend for.
 pub const LOCKS: u8 = 6;
+/// Number of number sequences.
 pub const NUMBERS: u8 = 2;
+/// Number of key groups; a watch covers one group.
 pub const GROUPS: u8 = 3;
 pub const KEYS_IN_GROUP: u8 = 4;
-/// Refusals after which a call is given up.
+/// A client gives up a call after this number of refusals.
 const MAX_REFUSALS: usize = 30;
-/// The part of a lock's time after which its holder renews it at the latest.
-const MAX_PART_BEFORE_RENEWAL: f64 = 0.95;
-/// How long a watch waits.
+/// A holder starts the renewal of its lease within this fraction of the remaining lease time.
+const MAX_FRACTION_BEFORE_RENEWAL: f64 = 0.95;
+/// How long the server keeps a watch open without events.
 const WATCH_WAIT: Duration = Duration::from_millis(500);
-/// A revision that was received so long ago may still be watched from.
-const HISTORY: Duration = Duration::from_secs(20);
+/// How long after its receipt a revision must remain available as the start of a watch.
+const HISTORY_RETENTION: Duration = Duration::from_secs(20);
 
-/// A client.
+/// A client with its own random generator and history.
 #[derive(Debug)]
 pub struct Client {
     name: String,
     run: Arc<Run>,
     caller: Caller,
     random: Rng,
-    puts: u64,
-    /// The latest revision of each group that a watch received, and when.
-    watched: HashMap<String, (u64, Duration)>,
+    put_count: u64,
+    /// The latest revision that a watch received for each group, and the time of its receipt.
+    watched_revisions: HashMap<String, (u64, Duration)>,
     history: History,
 }
 
-/// The key of a group.
+/// Returns the name of a key in a group.
 pub fn key(group: u8, key: u8) -> String {
     format!("g{group}.k{key}")
 }
 
-fn span(answer: &Answer) -> Span {
-    Span {
+fn interval(answer: &Answer) -> Interval {
+    Interval {
         sent: answer.sent,
         received: answer.received,
     }
 }
 
-/// The value and the revision of an answer to a read, or of an event.
+/// Extracts the value and revision from the answer to a read or from an event.
 fn entry(key: &str, document: &Value) -> Entry {
     Entry {
         key: key.to_owned(),
@@ -59,21 +62,21 @@
 }
 
 impl Client {
-    /// A client with a name of its own.
+    /// Creates a client; `name` must be unique, since it identifies the lock holder and the values.
     pub fn new(name: String, run: Arc<Run>, caller: Caller, seed: u64) -> Self {
         Self {
             name,
             run,
             caller,
             random: Rng::with_seed(seed),
-            puts: 0,
-            watched: HashMap::new(),
+            put_count: 0,
+            watched_revisions: HashMap::new(),
             history: History::default(),
         }
     }
 
-    /// Calls until the run is over, and returns what it has seen.
-    pub fn work(mut self) -> History {
+    /// Makes random calls until the run is over, and returns the recorded history.
+    pub fn run(mut self) -> History {
         while !self.run.is_over.load(Ordering::Relaxed) {
             self.step();
         }
@@ -82,7 +85,7 @@
 
     fn step(&mut self) {
         match self.random.u8(0..10) {
-            0..=1 => self.hold_lock(),
+            0..=1 => self.use_lock(),
             2..=3 => self.take_random_number(),
             4..=5 => self.put_random(),
             6..=7 => self.read_random(),
@@ -90,9 +93,9 @@
         }
     }
 
-    /// Takes a number, reads each key, acquires each lock and resumes each watch; reports what is not
-    /// answered in time.
-    pub fn read_back(mut self, seen: &History, until: Instant) -> History {
+    /// Takes a number from each sequence, reads each key, resumes each watch and acquires each lock.
+    /// Reports a violation for each call that is not executed before `until`.
+    pub fn read_back(mut self, recorded: &History, until: Instant) -> History {
         for number in 0..NUMBERS {
             self.take_number(&format!("n{number}"), Some(until));
         }
@@ -102,7 +105,7 @@
             self.read(key(group, at), Some(until));
         }
         for group in 0..GROUPS {
-            self.resume_watch(&format!("g{group}"), seen, until);
+            self.resume_watch(&format!("g{group}"), recorded, until);
         }
         for lock in 0..LOCKS {
             self.acquire_in_time(&format!("l{lock}"), until);
@@ -110,13 +113,17 @@
         self.history
     }
 
-    /// Resumes a watch at the oldest revision that the history must still reach back to.
-    fn resume_watch(&mut self, group: &str, seen: &History, until: Instant) {
+    /// Resumes the watch of a group at the oldest received revision that the server must still retain.
+    fn resume_watch(&mut self, group: &str, recorded: &History, until: Instant) {
         let begin = self.run.now();
-        let kept = |watch: &&WatchAnswer| {
-            watch.group == group && begin < watch.span.received + HISTORY / 2
+        let is_retained = |watch: &&WatchAnswer| {
+            watch.group == group && begin < watch.interval.received + HISTORY_RETENTION / 2
         };
-        let revisions = seen.watches.iter().filter(kept).map(|watch| watch.revision);
+        let revisions = recorded
+            .watches
+            .iter()
+            .filter(is_retained)
+            .map(|watch| watch.revision);
         let after = revisions.filter(|revision| *revision > 0).min();
         self.watch(group, after.unwrap_or(0), begin, Some(until));
     }
@@ -127,20 +134,21 @@
         let request = Request::new("POST", format!("/v1/locks/{lock}"), &body);
         while let Some(answer) = self.call(&request, Some(until)) {
             if answer.status == 200 {
-                let hold = Hold {
+                let lease = Lease {
                     lock: lock.to_owned(),
                     holder: name,
                     fence: answer.number("fence"),
-                    acquired: span(&answer),
+                    acquired: interval(&answer),
                     until: answer.sent + Duration::from_millis(1_000),
                 };
-                self.history.holds.push(hold);
+                self.history.leases.push(lease);
                 return;
             }
         }
     }
 
-    /// The answer to a call that is repeated until it is executed.
+    /// Repeats a call until the service executes it. With `until`, a call that is not executed in time
+    /// is a violation; without it, the client gives up after `MAX_REFUSALS` refusals.
     fn call(&mut self, request: &Request, until: Option<Instant>) -> Option<Answer> {
         let max_refusals = until.map_or(MAX_REFUSALS, |_| usize::MAX);
         let answer = self.caller.call(request, max_refusals, until);
@@ -172,7 +180,7 @@
             self.history.numbers.push(Number {
                 name: name.to_owned(),
                 value: answer.number("value"),
-                span: span(&answer),
+                interval: interval(&answer),
             });
         }
     }
@@ -186,19 +194,23 @@
         self.read(key, None);
     }
 
-    /// Reads a key; returns its revision.
+    /// Reads a key and returns its revision; 0 if the key does not exist.
     fn read(&mut self, key: String, until: Option<Instant>) -> Option<u64> {
         let request = Request::new("GET", format!("/v1/cells/{key}"), &Value::Null);
         let answer = self.call(&request, until)?;
         let found = (answer.status == 200).then(|| entry(&key, &answer.body));
         let revision = answer.number("revision");
-        let span = span(&answer);
-        self.history.reads.push(Read { key, found, span });
+        let interval = interval(&answer);
+        self.history.reads.push(Read {
+            key,
+            found,
+            interval,
+        });
         Some(revision)
     }
 
-    /// Puts a value: without a condition, over what it has read, or over a revision that is no longer
-    /// there.
+    /// Puts a value: without a condition, on condition of the revision just read, or on condition of a
+    /// random low revision that is usually outdated.
     fn put_random(&mut self) {
         let key = self.random_key();
         let if_revision = match self.random.u8(0..4) {
@@ -213,8 +225,8 @@
     }
 
     fn put(&mut self, key: String, if_revision: Option<u64>) {
-        self.puts += 1;
-        let value = format!("{}-{}", self.name, self.puts);
+        self.put_count += 1;
+        let value = format!("{}-{}", self.name, self.put_count);
         let mut body = json!({ "value": value });
         if let Some(revision) = if_revision {
             body["if_revision"] = revision.into();
@@ -223,18 +235,18 @@
         let max_refusals = self.random.usize(1..MAX_REFUSALS);
         let sent = self.run.now();
         let answer = self.caller.call(&request, max_refusals, None);
-        let fate = match &answer {
-            Ok(answer) if answer.status == 200 => PutFate::Acknowledged {
+        let outcome = match &answer {
+            Ok(answer) if answer.status == 200 => PutOutcome::Acknowledged {
                 revision: answer.number("revision"),
             },
-            Ok(answer) if answer.status == 412 => PutFate::Rejected {
+            Ok(answer) if answer.status == 412 => PutOutcome::Rejected {
                 current: Some(answer.number("revision")),
             },
-            Err(given_up) if !given_up.is_unclear => PutFate::Rejected { current: None },
-            Err(_) => PutFate::Unknown,
+            Err(given_up) if !given_up.is_unclear => PutOutcome::Rejected { current: None },
+            Err(_) => PutOutcome::Unknown,
             Ok(answer) => {
                 self.run.report(format!("{request:?} got {answer:?}"));
-                PutFate::Unknown
+                PutOutcome::Unknown
             }
         };
         let received = self.run.now();
@@ -243,25 +255,25 @@
             key: key.clone(),
             value,
             if_revision,
-            span: Span { sent, received },
-            fate,
+            interval: Interval { sent, received },
+            outcome,
         });
         if is_read_elsewhere {
-            self.caller.go_on();
+            self.caller.switch_server();
             self.read(key, None);
         }
     }
 
     fn watch_random(&mut self) {
         let group = format!("g{}", self.random.u8(0..GROUPS));
-        let known = self.watched.get(&group).copied();
+        let known = self.watched_revisions.get(&group).copied();
         let (after, at) = known
-            .filter(|(_, at)| self.run.now() < *at + HISTORY / 2)
+            .filter(|(_, at)| self.run.now() < *at + HISTORY_RETENTION / 2)
             .unwrap_or((0, self.run.now()));
         self.watch(&group, after, at, None);
     }
 
-    /// Watches a group after a revision that was received at this time.
+    /// Watches a group from the revision `after`, which the client received at the time `at`.
     fn watch(&mut self, group: &str, after: u64, at: Duration, until: Option<Instant>) {
         let wait_ms = WATCH_WAIT.as_millis();
         let path = format!("/v1/watch/{group}.?after={after}&wait_ms={wait_ms}");
@@ -271,7 +283,7 @@
             return;
         };
         if answer.status != 200 {
-            if answer.received < at + HISTORY {
+            if answer.received < at + HISTORY_RETENTION {
                 self.run.report(format!("LOST: {request:?} got {answer:?}"));
             }
             return;
@@ -280,19 +292,20 @@
         let events = events.map_or(&[][..], Vec::as_slice);
         let event = |event: &Value| entry(event["name"].as_str().unwrap_or_default(), event);
         let revision = answer.number("revision");
-        self.watched
+        self.watched_revisions
             .insert(group.to_owned(), (revision, answer.received));
         self.history.watches.push(WatchAnswer {
             group: group.to_owned(),
             after,
             events: events.iter().map(event).collect(),
             revision,
-            span: span(&answer),
+            interval: interval(&answer),
         });
     }
 
-    /// Holds a lock: acquires it, renews it between other calls, and releases it or dies.
-    fn hold_lock(&mut self) {
+    /// Acquires a lock, renews the lease between other calls, and then either releases the lock or
+    /// leaves the lease to expire, like a client that crashes.
+    fn use_lock(&mut self) {
         let lock = format!("l{}", self.random.u8(0..LOCKS));
         let path = format!("/v1/locks/{lock}");
         let hold_ms = self.random.u64(200..2_000);
@@ -305,49 +318,50 @@
             return;
         }
         let fence = answer.number("fence");
-        // The latest call counts, also where it asks for a shorter time.
-        self.end_holds(&lock, answer.received);
-        let mut hold = Hold {
+        // A new acquisition replaces the earlier lease of this client, even by a shorter one.
+        self.end_leases(&lock, answer.received);
+        let mut lease = Lease {
             lock,
             holder: self.name.clone(),
             fence,
-            acquired: span(&answer),
+            acquired: interval(&answer),
             until: answer.sent + Duration::from_millis(hold_ms),
         };
         let mut is_lost = false;
         for _ in 0..self.random.u8(0..4) {
-            self.call_until_renewal(&hold);
-            if !self.renew(&mut hold, &path, hold_ms) {
+            self.call_until_renewal(&lease);
+            if !self.renew(&mut lease, &path, hold_ms) {
                 is_lost = true;
                 break;
             }
         }
         if self.random.u8(0..4) == 0 {
-            self.call_until(hold.until);
+            self.call_until(lease.until);
         }
-        // A lock that is lost before its time counts as held until then.
-        let ended = if is_lost { hold.until } else { self.run.now() };
+        // After a failed renewal, the lease counts as held until its original expiry.
+        let ended = if is_lost { lease.until } else { self.run.now() };
         if !is_lost && self.random.u8(0..4) > 0 {
-            self.end_holds(&hold.lock, ended);
+            self.end_leases(&lease.lock, ended);
             let body = json!({ "holder": self.name, "fence": fence });
             self.call(&Request::new("DELETE", path, &body), None);
         }
-        hold.until = hold.until.min(ended);
-        self.history.holds.push(hold);
+        lease.until = lease.until.min(ended);
+        self.history.leases.push(lease);
     }
 
-    /// This client no longer holds a lock that it acquired before.
-    fn end_holds(&mut self, lock: &str, at: Duration) {
-        let holds = self.history.holds.iter_mut();
-        for hold in holds.filter(|hold| hold.lock == lock) {
-            hold.until = hold.until.min(at);
+    /// Ends all recorded leases of this client on a lock at the time `at`.
+    fn end_leases(&mut self, lock: &str, at: Duration) {
+        let leases = self.history.leases.iter_mut();
+        for lease in leases.filter(|lease| lease.lock == lock) {
+            lease.until = lease.until.min(at);
         }
     }
 
-    /// Makes other calls for a part of the time that a lock is held, up to nearly all of it.
-    fn call_until_renewal(&mut self, hold: &Hold) {
-        let left = hold.until.saturating_sub(self.run.now());
-        let part = left.mul_f64(self.random.f64() * MAX_PART_BEFORE_RENEWAL);
+    /// Makes other calls for a random part of the remaining lease time, up to
+    /// `MAX_FRACTION_BEFORE_RENEWAL`.
+    fn call_until_renewal(&mut self, lease: &Lease) {
+        let left = lease.until.saturating_sub(self.run.now());
+        let part = left.mul_f64(self.random.f64() * MAX_FRACTION_BEFORE_RENEWAL);
         self.call_until(self.run.now() + part);
     }
 
@@ -365,20 +379,20 @@
         }
     }
 
-    /// Extends a lock. Whether the client still holds it.
-    fn renew(&mut self, hold: &mut Hold, path: &str, hold_ms: u64) -> bool {
-        if self.run.now() >= hold.until {
+    /// Renews a lease; returns whether the client still holds the lock.
+    fn renew(&mut self, lease: &mut Lease, path: &str, hold_ms: u64) -> bool {
+        if self.run.now() >= lease.until {
             return false;
         }
-        let body = json!({ "holder": self.name, "fence": hold.fence, "hold_ms": hold_ms });
+        let body = json!({ "holder": self.name, "fence": lease.fence, "hold_ms": hold_ms });
         let request = Request::new("PUT", path.to_owned(), &body);
         let Some(answer) = self.call(&request, None) else {
             return false;
         };
-        let is_renewed = answer.status == 200 && answer.received < hold.until;
+        let is_renewed = answer.status == 200 && answer.received < lease.until;
         if is_renewed {
             let until = answer.sent + Duration::from_millis(hold_ms);
-            hold.until = hold.until.max(until);
+            lease.until = lease.until.max(until);
         }
         is_renewed
     }
--- a/tests/coordination_soak/cores.rs
+++ b/tests/coordination_soak/cores.rs
@@ -1,33 +1,34 @@
-//! What clients and faults share: which core machines are disturbed at the moment, how many calls
-//! were executed, and what was found to be wrong.
+//! State that the clients and the fault injector share: the core servers that a fault disturbs, the
+//! number of executed calls, and the violations found so far.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long a client that no machine serves waits for a change at most.
+/// Longest wait for a change of the shared state before it is checked again.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Whether a machine is stopped or down.
+/// Whether a fault has stopped or ended the process of a server, and when the last fault ended.
 #[derive(Clone, Copy, Debug, Default)]
 struct Disturbance {
     is_disturbed: bool,
     last_ended: Option<Instant>,
 }
 
-/// What a thread does.
+/// The scheduling state of a thread, read from `/proc`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ThreadState {
-    /// `R` if it runs or waits for a processor.
+    /// The state letter of the kernel: `R` if the thread runs or waits for a processor.
     state: String,
-    /// The processor time that it has used and waited for, and the number of its time slices.
+    /// The contents of `schedstat`: processor time used, time spent waiting for a processor, and the
+    /// number of time slices.
     schedule: String,
-    /// What it waits for in the kernel.
+    /// The contents of `wchan`: the kernel function in which the thread sleeps.
     waits_for: String,
 }
 
 impl ThreadState {
-    /// The main thread of a process.
+    /// Reads the state of the main thread of a process.
     fn read(process: u32) -> Option<Self> {
         let read = |file: &str| std::fs::read_to_string(format!("/proc/{process}/{file}")).ok();
         let status = read("stat")?;
@@ -39,29 +40,29 @@
         })
     }
 
-    /// Whether it wanted to run all the time since an earlier look, and got no time slice.
+    /// Returns whether the thread was runnable since the `earlier` reading but got no time slice.
     pub fn has_starved_since(&self, earlier: &Self) -> bool {
         self.state == "R" && self == earlier
     }
 }
 
-/// The shared state of a run.
+/// The shared state of a soak run.
 #[derive(Debug)]
 pub struct Run {
     began: Instant,
-    /// Whether clients are to end.
+    /// Set when the clients must end.
     pub is_over: AtomicBool,
     disturbances: Mutex<Vec<Disturbance>>,
     changed: Condvar,
     executed: AtomicU64,
     violations: Mutex<Vec<String>>,
     faults: Mutex<Vec<String>>,
-    /// The identities of the core machines' processes.
+    /// The process identifiers of the core servers.
     processes: Mutex<Vec<u32>>,
 }
 
 impl Run {
-    /// A run with so many core machines.
+    /// Creates the state of a run with `cores` core servers.
     pub fn new(cores: u8) -> Self {
         Self {
             began: Instant::now(),
@@ -75,16 +76,18 @@
         }
     }
 
-    /// The time since the run began.
+    /// Returns the time since the run began.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
     fn disturbances(&self) -> MutexGuard<'_, Vec<Disturbance>> {
-        self.disturbances.lock().expect("no thread panics with it")
+        self.disturbances
+            .lock()
+            .expect("no thread panics while it holds the mutex")
     }
 
-    /// A machine stops or goes down, or it runs again.
+    /// Records that a fault on a server begins or ends.
     pub fn set_disturbed(&self, core: u8, is_disturbed: bool) {
         let disturbance = &mut self.disturbances()[usize::from(core)];
         disturbance.is_disturbed = is_disturbed;
@@ -94,51 +97,57 @@
         self.changed.notify_all();
     }
 
-    /// Since when a machine has run without being disturbed, for a call sent at this time; `None`
-    /// while it is disturbed.
+    /// Returns the later of the time at which a call was sent and the end of the last fault on its
+    /// server; `None` while a fault disturbs the server.
     pub fn undisturbed_since(&self, core: u8, sent: Instant) -> Option<Instant> {
         let disturbance = self.disturbances()[usize::from(core)];
         let ended = disturbance.last_ended.unwrap_or(sent);
         (!disturbance.is_disturbed).then_some(ended.max(sent))
     }
 
-    /// A core machine has this process now.
+    /// Records the process identifier of a core server.
     pub fn set_process(&self, core: u8, process: u32) {
-        let mut processes = self.processes.lock().expect("no thread panics with it");
+        let mut processes = self
+            .processes
+            .lock()
+            .expect("no thread panics while it holds the mutex");
         processes[usize::from(core)] = process;
     }
 
-    /// What the main thread of a core machine's process does; `None` if the process is gone.
+    /// Reads the state of the main thread of a core server; `None` if its process has ended.
     pub fn main_thread(&self, core: u8) -> Option<ThreadState> {
         let process = {
-            let processes = self.processes.lock().expect("no thread panics with it");
+            let processes = self
+                .processes
+                .lock()
+                .expect("no thread panics while it holds the mutex");
             processes[usize::from(core)]
         };
         ThreadState::read(process)
     }
 
-    /// A call was executed.
+    /// Counts an executed call.
     pub fn count_executed(&self) {
         self.executed.fetch_add(1, Ordering::Relaxed);
         self.changed.notify_all();
     }
 
-    /// The number of calls that were executed.
+    /// Returns the number of executed calls.
     pub fn executed(&self) -> u64 {
         self.executed.load(Ordering::Relaxed)
     }
 
-    /// Waits until so many calls were executed, or until a time.
+    /// Waits until `calls` calls have been executed in total, or until a time.
     pub fn wait_for_executed(&self, calls: u64, until: Instant) {
         let mut guard = self.disturbances();
         while self.executed() < calls && Instant::now() < until {
             let time = until.saturating_duration_since(Instant::now());
             let waited = self.changed.wait_timeout(guard, time.min(CHANGE_TIMEOUT));
-            guard = waited.expect("no thread panics with it").0;
+            guard = waited.expect("no thread panics while it holds the mutex").0;
         }
     }
 
-    /// Waits until something has changed: a machine, or a call that was executed.
+    /// Waits until a fault begins or ends or a call is executed, for `CHANGE_TIMEOUT` at most.
     pub fn wait_for_change(&self) {
         let waited = self
             .changed
@@ -146,24 +155,36 @@
         drop(waited);
     }
 
-    /// Notes something that must not happen.
+    /// Records a violation with the time since the run began.
     pub fn report(&self, violation: String) {
         let at_ms = self.began.elapsed().as_millis();
-        let mut violations = self.violations.lock().expect("no thread panics with it");
+        let mut violations = self
+            .violations
+            .lock()
+            .expect("no thread panics while it holds the mutex");
         violations.push(format!("{at_ms} ms: {violation}"));
     }
 
-    /// Notes a fault.
+    /// Records an injected fault with the time since the run began.
     pub fn note_fault(&self, fault: &str) {
         let at_ms = self.began.elapsed().as_millis();
-        let mut faults = self.faults.lock().expect("no thread panics with it");
+        let mut faults = self
+            .faults
+            .lock()
+            .expect("no thread panics while it holds the mutex");
         faults.push(format!("{at_ms} ms: {fault}"));
     }
 
-    /// What must not have happened, with the faults before it; `None` if all is well.
+    /// Lists all violations, followed by the injected faults; `None` if there are no violations.
     pub fn verdict(&self) -> Option<String> {
-        let violations = self.violations.lock().expect("no thread panics with it");
-        let faults = self.faults.lock().expect("no thread panics with it");
+        let violations = self
+            .violations
+            .lock()
+            .expect("no thread panics while it holds the mutex");
+        let faults = self
+            .faults
+            .lock()
+            .expect("no thread panics while it holds the mutex");
         let found = format!("{}\nfaults:\n{}", violations.join("\n"), faults.join("\n"));
         (!violations.is_empty()).then_some(found)
     }
--- a/tests/coordination_soak/faults.rs
+++ b/tests/coordination_soak/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, drawn from its seed: in series and overlapping.
+//! Fault injector: the seed of a run determines the faults, which may overlap.
 
 use super::cores::Run;
 use fastrand::Rng;
@@ -7,40 +7,40 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::system::{System, call};
 
-/// Calls between the beginnings of two faults.
+/// Number of executed calls between the beginnings of two faults.
 const CALLS_BETWEEN_FAULTS: std::ops::Range<u64> = 20..400;
-/// A fault begins at the latest so long after the last one, however few calls are executed.
+/// The next fault begins after this time even if too few calls are executed.
 const FAULT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a machine is stopped, in milliseconds.
-const STOP_MS: std::ops::Range<u64> = 300..4_000;
-/// How long a machine is down, in milliseconds.
-const DOWN_MS: std::ops::Range<u64> = 0..2_000;
-/// Machines that are stopped or down at a time, beside those that are killed all at once.
+/// How long a server stays suspended by SIGSTOP, in milliseconds.
+const SUSPENSION_MS: std::ops::Range<u64> = 300..4_000;
+/// How long a server stays down before its restart, in milliseconds.
+const DOWNTIME_MS: std::ops::Range<u64> = 0..2_000;
+/// Most servers that are suspended or down at a time, except when all servers are killed at once.
 const MAX_DISTURBED: usize = 3;
-/// How long members may take to become stable.
+/// Time limit for the group members to become stable.
 const STABLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Calls between two looks at the members.
-const CALLS_BETWEEN_LOOKS: u64 = 50;
+/// Number of executed calls between two checks of the group members.
+const CALLS_BETWEEN_CHECKS: u64 = 50;
 
-/// What ends a machine's disturbance.
+/// The action that ends a fault on a server: SIGCONT or a restart of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recovery {
     Continue,
     Start,
 }
 
-/// The faults of a run.
+/// Injects faults into the processes of a system.
 pub struct Faults {
     pub system: System,
     run: Arc<Run>,
     random: Rng,
     cores: u8,
-    /// The machines that are disturbed, and when that ends.
+    /// The servers under a fault, with the recovery action and its due time.
     disturbed: Vec<(u8, Recovery, Instant)>,
 }
 
 impl Faults {
-    /// Faults of a system with so many core machines.
+    /// Creates an injector for a system with `cores` core servers.
     pub fn new(system: System, run: Arc<Run>, cores: u8, seed: u64) -> Self {
         for core in 0..cores {
             run.set_process(core, system.core_process(core).id());
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Brings about faults until a time, and then ends all disturbances.
-    pub fn play(&mut self, until: Instant) {
+    /// Injects faults until a time, and then waits until all servers have recovered.
+    pub fn inject(&mut self, until: Instant) {
         while Instant::now() < until {
             let calls = self.run.executed() + self.random.u64(CALLS_BETWEEN_FAULTS);
             self.wait(calls, until.min(Instant::now() + FAULT_TIMEOUT));
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Waits for a number of calls, or until a time, and ends disturbances meanwhile.
+    /// Waits until `calls` calls have been executed in total, or until a time, and starts the due
+    /// recoveries meanwhile.
     fn wait(&mut self, calls: u64, until: Instant) {
         loop {
             let now = Instant::now();
@@ -115,48 +116,49 @@
             self.run.note_fault("none");
         } else {
             match kind {
-                0..=3 => self.end(core),
+                0..=3 => self.terminate(core),
                 4..=6 => self.kill(core),
-                7..=11 => self.stop(core),
+                7..=11 => self.suspend(core),
                 12..=13 => self.reload(core),
                 _ => self.lose_disk(core),
             }
         }
     }
 
-    fn disturb(&mut self, core: u8, recovery: Recovery, duration_ms: u64) {
+    fn schedule_recovery(&mut self, core: u8, recovery: Recovery, duration_ms: u64) {
         let due = Instant::now() + Duration::from_millis(duration_ms);
         self.disturbed.push((core, recovery, due));
     }
 
-    fn end(&mut self, core: u8) {
+    fn terminate(&mut self, core: u8) {
         self.run.note_fault(&format!("SIGTERM core-{core}"));
         self.system.core_process(core).signal("TERM");
         self.system.wait_for_core_end(core);
         self.run.note_fault(&format!("core-{core} has ended"));
         self.run.set_disturbed(core, true);
-        let duration_ms = self.random.u64(DOWN_MS);
-        self.disturb(core, Recovery::Start, duration_ms);
+        let duration_ms = self.random.u64(DOWNTIME_MS);
+        self.schedule_recovery(core, Recovery::Start, duration_ms);
     }
 
     fn kill(&mut self, core: u8) {
         self.run.note_fault(&format!("SIGKILL core-{core}"));
         self.run.set_disturbed(core, true);
         self.system.kill_core(core);
-        let duration_ms = self.random.u64(DOWN_MS);
-        self.disturb(core, Recovery::Start, duration_ms);
+        let duration_ms = self.random.u64(DOWNTIME_MS);
+        self.schedule_recovery(core, Recovery::Start, duration_ms);
     }
 
-    fn stop(&mut self, core: u8) {
-        let duration_ms = self.random.u64(STOP_MS);
+    fn suspend(&mut self, core: u8) {
+        let duration_ms = self.random.u64(SUSPENSION_MS);
         self.run
             .note_fault(&format!("SIGSTOP core-{core} for {duration_ms} ms"));
         self.run.set_disturbed(core, true);
         self.system.core_process(core).signal("STOP");
-        self.disturb(core, Recovery::Continue, duration_ms);
+        self.schedule_recovery(core, Recovery::Continue, duration_ms);
     }
 
-    /// Rewrites the settings of a machine: other limits, and the seeds in another order.
+    /// Changes the heartbeat interval and the order of the seeds in the settings of a server, and sends
+    /// SIGHUP.
     fn reload(&mut self, core: u8) {
         if self.status(core).is_none() {
             self.run.note_fault("no reload before a process is up");
@@ -174,7 +176,7 @@
         self.system.core_process(core).signal("HUP");
     }
 
-    /// Kills a machine that loses its disk, if no other disk is being replaced.
+    /// Kills a server and deletes its data, unless the group is still replacing another lost disk.
     fn lose_disk(&mut self, core: u8) {
         if !self.is_stable() {
             self.run.note_fault("no disk is lost while one is replaced");
@@ -193,13 +195,13 @@
         }
         self.disturbed.clear();
         for core in 0..self.cores {
-            let duration_ms = self.random.u64(DOWN_MS);
-            self.disturb(core, Recovery::Start, duration_ms);
+            let duration_ms = self.random.u64(DOWNTIME_MS);
+            self.schedule_recovery(core, Recovery::Start, duration_ms);
         }
     }
 
-    /// Kills all machines at once, and takes the disks of two of them; returns when they are started
-    /// again.
+    /// Kills all servers at once, deletes the data of two servers and restarts all servers. Returns the
+    /// time at which the restart began.
     pub fn lose_two_disks(&mut self) -> Instant {
         let first = self.random.u8(0..self.cores);
         let second = (first + self.random.u8(1..self.cores)) % self.cores;
@@ -214,20 +216,22 @@
         started
     }
 
-    /// Waits until the group has recovered from a lost disk, so that two more may be lost.
+    /// Waits until the group has recovered from a lost disk, so that it tolerates the loss of two more
+    /// disks; returns `false` after `STABLE_TIMEOUT`.
     pub fn wait_until_stable(&mut self) -> bool {
         let begin = Instant::now();
         while !self.is_stable() {
             if begin.elapsed() > STABLE_TIMEOUT {
                 return false;
             }
-            let calls = self.run.executed() + CALLS_BETWEEN_LOOKS;
+            let calls = self.run.executed() + CALLS_BETWEEN_CHECKS;
             self.wait(calls, Instant::now() + Duration::from_millis(200));
         }
         true
     }
 
-    /// Whether each voter of the group is a machine that runs with its disk.
+    /// Returns whether no server is under a fault, and all servers agree on the leader, the number of
+    /// voters and the quorum.
     fn is_stable(&self) -> bool {
         if !self.disturbed.is_empty() {
             return false;
@@ -248,7 +252,7 @@
         })
     }
 
-    /// What the machines say of the group.
+    /// Returns the coordination status of each server; `None` for a server that does not answer.
     pub fn statuses(&self) -> Vec<Option<Value>> {
         (0..self.cores).map(|core| self.status(core)).collect()
     }
--- a/tests/coordination_soak/history.rs
+++ b/tests/coordination_soak/history.rs
@@ -1,60 +1,62 @@
-//! What clients have seen, and the rules that it must keep: ONE, ORDER, STALE, MIXED and REFUSED. That
-//! an answer lags behind what was acknowledged (LOST) shows as ORDER or STALE of the last calls.
+//! The history that the clients record, and the checks of the rules ONE, ORDER, STALE, MIXED and
+//! REFUSED. The loss of acknowledged data (LOST) shows as a violation of ORDER or STALE in the calls
+//! that read the data back at the end of a run.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// When a request was sent and when its answer came, from the beginning of the run on.
+/// The times at which a request was sent and its answer received, since the beginning of the run.
 #[derive(Clone, Copy, Debug)]
-pub struct Span {
+pub struct Interval {
     pub sent: Duration,
     pub received: Duration,
 }
 
-/// The time in which a client regarded itself as the holder of a lock.
+/// A lease as its holder sees it.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct Lease {
     pub lock: String,
     pub holder: String,
     pub fence: u64,
-    /// When the lock was requested and granted.
-    pub acquired: Span,
+    /// When the holder sent the request and received the lease.
+    pub acquired: Interval,
+    /// When the holder stopped relying on the lease, since the beginning of the run.
     pub until: Duration,
 }
 
-/// A number that was given out.
+/// A number that the service issued.
 #[derive(Clone, Debug)]
 pub struct Number {
     pub name: String,
     pub value: u64,
-    pub span: Span,
+    pub interval: Interval,
 }
 
-/// What came of a put.
+/// The outcome of a put.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PutFate {
+pub enum PutOutcome {
     Acknowledged {
         revision: u64,
     },
-    /// All that was sent was rejected; the revision that a 412 named.
+    /// Each attempt was rejected; `current` is the revision in a 412 answer.
     Rejected {
         current: Option<u64>,
     },
     Unknown,
 }
 
-/// A put; its value is unique.
+/// A put; the value is unique within a run.
 #[derive(Clone, Debug)]
 pub struct Put {
     pub key: String,
     pub value: String,
     pub if_revision: Option<u64>,
-    pub span: Span,
-    pub fate: PutFate,
+    pub interval: Interval,
+    pub outcome: PutOutcome,
 }
 
-/// A value at a revision.
+/// The value of a key at a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
     pub key: String,
@@ -67,7 +69,7 @@
 pub struct Read {
     pub key: String,
     pub found: Option<Entry>,
-    pub span: Span,
+    pub interval: Interval,
 }
 
 /// The answer to a watch.
@@ -77,38 +79,38 @@
     pub after: u64,
     pub events: Vec<Entry>,
     pub revision: u64,
-    pub span: Span,
+    pub interval: Interval,
 }
 
-/// Everything that was seen.
+/// The recorded operations of one or more clients.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    pub holds: Vec<Hold>,
+    pub leases: Vec<Lease>,
     pub numbers: Vec<Number>,
     pub puts: Vec<Put>,
     pub reads: Vec<Read>,
     pub watches: Vec<WatchAnswer>,
 }
 
-/// The group of a key: its name up to the first dot.
+/// Returns the group of a key: the name up to the first dot.
 pub fn group_of(key: &str) -> &str {
     key.split_once('.').map_or(key, |(group, _)| group)
 }
 
 impl History {
-    /// Adds what another client has seen.
+    /// Adds the operations that another client recorded.
     pub fn merge(&mut self, other: Self) {
-        self.holds.extend(other.holds);
+        self.leases.extend(other.leases);
         self.numbers.extend(other.numbers);
         self.puts.extend(other.puts);
         self.reads.extend(other.reads);
         self.watches.extend(other.watches);
     }
 
-    /// All breaches of the rules.
+    /// Returns all violations of the rules.
     pub fn violations(&self) -> Vec<String> {
         let mut found = Vec::new();
-        self.check_holds(&mut found);
+        self.check_leases(&mut found);
         self.check_fences(&mut found);
         self.check_numbers(&mut found);
         let entries = self.check_entries(&mut found);
@@ -118,61 +120,62 @@
         found
     }
 
-    fn check_holds(&self, found: &mut Vec<String>) {
-        for holds in by(&self.holds, |hold| hold.lock.clone()).into_values() {
-            let mut holds = holds;
-            holds.sort_by_key(|hold| hold.acquired.received);
-            for (at, hold) in holds.iter().enumerate() {
-                let later = holds[at + 1..].iter();
+    fn check_leases(&self, found: &mut Vec<String>) {
+        for leases in group_by(&self.leases, |lease| lease.lock.clone()).into_values() {
+            let mut leases = leases;
+            leases.sort_by_key(|lease| lease.acquired.received);
+            for (at, lease) in leases.iter().enumerate() {
+                let later = leases[at + 1..].iter();
                 let overlapping = later
-                    .take_while(|other| other.acquired.received < hold.until)
-                    .filter(|other| other.holder != hold.holder);
+                    .take_while(|other| other.acquired.received < lease.until)
+                    .filter(|other| other.holder != lease.holder);
                 for other in overlapping {
-                    breach(found, "ONE: two holders at a time", (hold, other));
+                    report(found, "ONE: two holders at a time", (lease, other));
                 }
             }
         }
     }
 
     fn check_fences(&self, found: &mut Vec<String>) {
-        for holds in by(&self.holds, |hold| hold.lock.clone()).into_values() {
-            let greatest = Greatest::new(
-                holds
+        for leases in group_by(&self.leases, |lease| lease.lock.clone()).into_values() {
+            let maximum = RunningMaximum::new(
+                leases
                     .iter()
-                    .map(|hold| (hold.acquired.received, hold.fence)),
+                    .map(|lease| (lease.acquired.received, lease.fence)),
             );
             let mut holders = HashMap::new();
-            for hold in holds {
-                if greatest.before(hold.acquired.sent) > Some(hold.fence) {
-                    breach(found, "ONE: a fencing token below an earlier one", hold);
+            for lease in leases {
+                if maximum.before(lease.acquired.sent) > Some(lease.fence) {
+                    report(found, "ONE: a fencing token below an earlier one", lease);
                 }
-                let holder = holders.entry(hold.fence).or_insert(&hold.holder);
-                if *holder != &hold.holder {
-                    breach(found, "ONE: two holders with one token", (hold, holder));
+                let holder = holders.entry(lease.fence).or_insert(&lease.holder);
+                if *holder != &lease.holder {
+                    report(found, "ONE: two holders with one token", (lease, holder));
                 }
             }
         }
     }
 
     fn check_numbers(&self, found: &mut Vec<String>) {
-        for numbers in by(&self.numbers, |number| number.name.clone()).into_values() {
+        for numbers in group_by(&self.numbers, |number| number.name.clone()).into_values() {
             let given = numbers
                 .iter()
-                .map(|number| (number.span.received, number.value));
-            let greatest = Greatest::new(given);
+                .map(|number| (number.interval.received, number.value));
+            let maximum = RunningMaximum::new(given);
             let mut values = HashSet::new();
             for number in numbers {
-                if greatest.before(number.span.sent) >= Some(number.value) {
-                    breach(found, "ORDER: a number not above an earlier one", number);
+                if maximum.before(number.interval.sent) >= Some(number.value) {
+                    report(found, "ORDER: a number not above an earlier one", number);
                 }
                 if !values.insert(number.value) {
-                    breach(found, "ORDER: a number twice", number);
+                    report(found, "ORDER: a number twice", number);
                 }
             }
         }
     }
 
-    /// Collects the entries of each group by their revisions, and checks that they fit together.
+    /// Collects the entries of each group by revision. Reports entries that contradict each other or
+    /// the recorded puts.
     fn check_entries(&self, found: &mut Vec<String>) -> Entries {
         let puts: HashMap<&str, &Put> = self.puts.iter().map(|put| (&*put.value, put)).collect();
         let mut entries = Entries::new();
@@ -181,31 +184,31 @@
         for entry in seen {
             match puts.get(&*entry.value) {
                 Some(put) if put.key != entry.key => {
-                    breach(found, "MIXED: a value of another key", (put, &entry));
+                    report(found, "MIXED: a value of another key", (put, &entry));
                 }
-                Some(put) if matches!(put.fate, PutFate::Rejected { .. }) => {
-                    breach(found, "REFUSED: a value that was rejected", (put, &entry));
+                Some(put) if matches!(put.outcome, PutOutcome::Rejected { .. }) => {
+                    report(found, "REFUSED: a value that was rejected", (put, &entry));
                 }
                 Some(_) => {}
-                None => breach(found, "MIXED: a value that nobody put", &entry),
+                None => report(found, "MIXED: a value that nobody put", &entry),
             }
             let first = *revisions
                 .entry(entry.value.clone())
                 .or_insert(entry.revision);
             if first != entry.revision {
-                breach(found, "MIXED: a value at two revisions", (first, &entry));
+                report(found, "MIXED: a value at two revisions", (first, &entry));
             }
             let group = entries.entry(group_of(&entry.key).to_owned()).or_default();
             if let Some(other) = group.insert(entry.revision, entry.clone()) {
-                breach(found, "ORDER: a revision twice", (other, entry));
+                report(found, "ORDER: a revision twice", (other, entry));
             }
         }
         entries
     }
 
     fn seen_entries(&self) -> impl Iterator<Item = Entry> {
-        let acknowledged = self.puts.iter().filter_map(|put| match put.fate {
-            PutFate::Acknowledged { revision } => Some(Entry {
+        let acknowledged = self.puts.iter().filter_map(|put| match put.outcome {
+            PutOutcome::Acknowledged { revision } => Some(Entry {
                 key: put.key.clone(),
                 value: put.value.clone(),
                 revision,
@@ -218,29 +221,29 @@
     }
 
     fn check_puts(&self, entries: &Entries, found: &mut Vec<String>) {
-        let by_group = by(&self.puts, |put| group_of(&put.key).to_owned());
+        let by_group = group_by(&self.puts, |put| group_of(&put.key).to_owned());
         for (group, puts) in &by_group {
-            let acknowledged = puts.iter().filter_map(|put| match put.fate {
-                PutFate::Acknowledged { revision } => Some((put.span.received, revision)),
+            let acknowledged = puts.iter().filter_map(|put| match put.outcome {
+                PutOutcome::Acknowledged { revision } => Some((put.interval.received, revision)),
                 _ => None,
             });
-            let greatest = Greatest::new(acknowledged);
+            let maximum = RunningMaximum::new(acknowledged);
             let nothing = BTreeMap::new();
             let entries = entries.get(group).unwrap_or(&nothing);
             for &put in puts {
-                match put.fate {
-                    PutFate::Acknowledged { revision } => {
-                        if greatest.before(put.span.sent) >= Some(revision) {
-                            breach(found, "ORDER: a revision not above an earlier one", put);
+                match put.outcome {
+                    PutOutcome::Acknowledged { revision } => {
+                        if maximum.before(put.interval.sent) >= Some(revision) {
+                            report(found, "ORDER: a revision not above an earlier one", put);
                         }
                         check_condition(put, revision, entries, found);
                     }
-                    PutFate::Rejected {
+                    PutOutcome::Rejected {
                         current: Some(current @ 1..),
                     } => {
                         let named = entries.get(&current);
                         if named.is_some_and(|entry| entry.key != put.key) {
-                            breach(found, "MIXED: a 412 with a foreign revision", (put, named));
+                            report(found, "MIXED: a 412 with a foreign revision", (put, named));
                         }
                     }
                     _ => {}
@@ -249,33 +252,33 @@
         }
     }
 
-    /// A read must not be older than a put that was acknowledged, or a read that was answered,
-    /// before it was sent.
+    /// Reports each read that returned a lower revision than a put or read of the same key that was
+    /// answered before the read was sent.
     fn check_reads(&self, found: &mut Vec<String>) {
-        let puts = self.puts.iter().filter_map(|put| match put.fate {
-            PutFate::Acknowledged { revision } => {
-                Some((put.key.clone(), put.span.received, revision))
+        let puts = self.puts.iter().filter_map(|put| match put.outcome {
+            PutOutcome::Acknowledged { revision } => {
+                Some((put.key.clone(), put.interval.received, revision))
             }
             _ => None,
         });
         let reads = self.reads.iter().filter_map(|read| {
             let revision = read.found.as_ref()?.revision;
-            Some((read.key.clone(), read.span.received, revision))
+            Some((read.key.clone(), read.interval.received, revision))
         });
         let known: Vec<_> = puts.chain(reads).collect();
-        let known: HashMap<String, Greatest> = by(&known, |(key, ..)| key.clone())
+        let known: HashMap<String, RunningMaximum> = group_by(&known, |(key, ..)| key.clone())
             .into_iter()
             .map(|(key, seen)| {
                 let seen = seen.into_iter().map(|(_, at, revision)| (*at, *revision));
-                (key, Greatest::new(seen))
+                (key, RunningMaximum::new(seen))
             })
             .collect();
         for read in &self.reads {
             let revision = read.found.as_ref().map_or(0, |entry| entry.revision);
-            let greatest = known.get(&read.key);
-            let earlier = greatest.and_then(|greatest| greatest.before(read.span.sent));
+            let maximum = known.get(&read.key);
+            let earlier = maximum.and_then(|maximum| maximum.before(read.interval.sent));
             if earlier > Some(revision) {
-                breach(found, "STALE: a read of an old revision", (read, earlier));
+                report(found, "STALE: a read of an old revision", (read, earlier));
             }
         }
     }
@@ -287,25 +290,26 @@
             let is_rising = bounded.clone().zip(&revisions).all(|(a, b)| a < b);
             let is_within = revisions.last().is_none_or(|last| *last <= watch.revision);
             if !is_rising || !is_within {
-                breach(found, "ORDER: events that do not rise in their span", watch);
+                report(found, "ORDER: events that do not rise in their span", watch);
             }
             if watch.after > watch.revision {
-                breach(found, "ORDER: a watch that goes back", watch);
+                report(found, "ORDER: a watch that goes back", watch);
             } else if let Some(group) = entries.get(&watch.group).filter(|_| watch.after > 0) {
                 let seen: HashSet<u64> = revisions.into_iter().collect();
-                let span = group.range(watch.after + 1..watch.revision + 1);
-                for (_, skipped) in span.filter(|(revision, _)| !seen.contains(revision)) {
-                    breach(found, "ORDER: a watch skips a put", (watch, skipped));
+                let revision_range = group.range(watch.after + 1..watch.revision + 1);
+                for (_, skipped) in revision_range.filter(|(revision, _)| !seen.contains(revision))
+                {
+                    report(found, "ORDER: a watch skips a put", (watch, skipped));
                 }
             }
         }
     }
 }
 
-/// The entries of each group by their revisions.
+/// The entries of each group by revision.
 type Entries = HashMap<String, BTreeMap<u64, Entry>>;
 
-/// A put with a condition must follow the revision that it names.
+/// Reports a conditional put that did not directly follow the revision in its condition.
 fn check_condition(
     put: &Put,
     revision: u64,
@@ -316,20 +320,20 @@
         return;
     };
     if required >= revision {
-        breach(found, "ORDER: a put below the revision it requires", put);
+        report(found, "ORDER: a put below the revision it requires", put);
         return;
     }
     let mut between = entries.range(required + 1..revision);
     if let Some(later) = between.find(|(_, entry)| entry.key == put.key) {
-        breach(found, "ORDER: a put over a later revision", (put, later));
+        report(found, "ORDER: a put over a later revision", (put, later));
     }
 }
 
-fn breach(found: &mut Vec<String>, rule: &str, detail: impl Debug) {
+fn report(found: &mut Vec<String>, rule: &str, detail: impl Debug) {
     found.push(format!("{rule}: {detail:?}"));
 }
 
-fn by<T>(items: &[T], key: impl Fn(&T) -> String) -> HashMap<String, Vec<&T>> {
+fn group_by<T>(items: &[T], key: impl Fn(&T) -> String) -> HashMap<String, Vec<&T>> {
     let mut groups: HashMap<String, Vec<&T>> = HashMap::new();
     for item in items {
         groups.entry(key(item)).or_default().push(item);
@@ -337,22 +341,22 @@
     groups
 }
 
-/// The greatest number that was seen by a time.
-struct Greatest(Vec<(Duration, u64)>);
+/// The running maximum of a sequence of timestamped numbers.
+struct RunningMaximum(Vec<(Duration, u64)>);
 
-impl Greatest {
+impl RunningMaximum {
     fn new(seen: impl Iterator<Item = (Duration, u64)>) -> Self {
         let mut seen: Vec<_> = seen.collect();
         seen.sort_unstable();
-        let mut greatest = 0;
+        let mut maximum = 0;
         for (_, number) in &mut seen {
-            greatest = greatest.max(*number);
-            *number = greatest;
+            maximum = maximum.max(*number);
+            *number = maximum;
         }
         Self(seen)
     }
 
-    /// The greatest that was seen before a time.
+    /// Returns the greatest number with a timestamp before `time`.
     fn before(&self, time: Duration) -> Option<u64> {
         let count = self.0.partition_point(|(at, _)| *at < time);
         Some(self.0.get(count.checked_sub(1)?)?.1)
