--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -1,5 +1,5 @@
-//! The coordination service on processes: calls at each core machine, and what was acknowledged after
-//! all of them were killed.
+//! Tests of the coordination service on real processes: calls at each core server, and the durability
+//! of acknowledged data after all core servers were killed.
 
 #[path = "common/program.rs"]
 mod program;
@@ -15,23 +15,23 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::system::{System, call};
 
-/// Core machines of a system.
+/// Number of core servers of a system.
 const CORES: u8 = 3;
-/// A caller goes to another machine after this time without a response.
+/// A client switches to another server after this time without a response.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a call is made at one machine until it is executed in time.
+/// Most attempts of a call at one server until it is executed within `CALLER_TIMEOUT`.
 const MAX_ATTEMPTS: usize = 3;
-/// How long a group of machines that starts may take to answer.
+/// Time limit for a group of servers to start and answer.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The status and the body of a response, if one came.
+/// The status and the decoded body of a response.
 #[derive(Debug)]
 struct Answer {
     status: u16,
     body: Value,
 }
 
-fn ask(system: &System, core: u8, method: &str, path: &str, body: &Value) -> Option<Answer> {
+fn call_core(system: &System, core: u8, method: &str, path: &str, body: &Value) -> Option<Answer> {
     let body = body.to_string();
     let answer = call(system.control(core), method, path, "", body.as_bytes())?;
     Some(Answer {
@@ -40,24 +40,25 @@
     })
 }
 
-/// Repeats a call at all machines in turn until one has executed it.
-fn ask_until_executed(system: &System, method: &str, path: &str, body: &Value) -> Answer {
+/// Repeats a call at all servers in turn until one server has executed it.
+fn call_until_executed(system: &System, method: &str, path: &str, body: &Value) -> Answer {
     let begin = Instant::now();
     for core in (0..CORES).cycle() {
         assert!(begin.elapsed() < START_TIMEOUT, "{method} {path}");
-        let answer = ask(system, core, method, path, body);
+        let answer = call_core(system, core, method, path, body);
         if let Some(answer) = answer.filter(|answer| answer.status < 429) {
             return answer;
         }
     }
-    unreachable!("the machines are tried in turn")
+    unreachable!("the cycle over the servers does not end")
 }
 
-/// Repeats a call at one machine until it is executed in a caller's time: a commit may wait for a disk that others use too.
-fn ask_until_executed_in_time(system: &System, core: u8, method: &str, path: &str, body: &Value) {
+/// Repeats a call at one server until it is executed within `CALLER_TIMEOUT`. A single attempt may
+/// take longer, since a commit waits for a disk that other processes use too.
+fn call_until_executed_in_time(system: &System, core: u8, method: &str, path: &str, body: &Value) {
     for _ in 0..MAX_ATTEMPTS {
         let begin = Instant::now();
-        let answer = ask(system, core, method, path, body).expect("an answer");
+        let answer = call_core(system, core, method, path, body).expect("an answer");
         if answer.status == 200 && begin.elapsed() < CALLER_TIMEOUT {
             return;
         }
@@ -68,9 +69,9 @@
 }
 
 #[test]
-fn short_calls_at_each_core_machine_are_executed_in_time() {
+fn short_calls_at_each_core_server_are_executed_in_time() {
     let system = System::start(&program_path(), 0);
-    let first = ask_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
+    let first = call_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
     assert_eq!(first.status, 200, "{first:?}");
     for core in 0..CORES {
         let name = format!("{core}");
@@ -87,40 +88,40 @@
             ("GET", "/v1/watch/g1.?after=0".to_owned(), Value::Null),
         ];
         for (method, path, body) in calls {
-            ask_until_executed_in_time(&system, core, method, &path, &body);
+            call_until_executed_in_time(&system, core, method, &path, &body);
         }
     }
 }
 
 #[test]
-fn lost_nothing_acknowledged_when_all_core_machines_are_killed() {
+fn acknowledged_data_survives_the_kill_of_all_core_servers() {
     let mut system = System::start(&program_path(), 0);
     let lock = json!({ "holder": "a1", "hold_ms": 600_000 });
-    let acquired = ask_until_executed(&system, "POST", "/v1/locks/l1", &lock);
+    let acquired = call_until_executed(&system, "POST", "/v1/locks/l1", &lock);
     assert_eq!(acquired.status, 200, "{acquired:?}");
-    let number = ask_until_executed(&system, "POST", "/v1/numbers/n1", &json!({}));
+    let number = call_until_executed(&system, "POST", "/v1/numbers/n1", &json!({}));
     let put = |value: &str| {
         let body = json!({ "value": value });
-        ask_until_executed(&system, "PUT", "/v1/cells/g1.a", &body).body["revision"].clone()
+        call_until_executed(&system, "PUT", "/v1/cells/g1.a", &body).body["revision"].clone()
     };
     let (first, second) = (put("one"), put("two"));
     (0..CORES).for_each(|core| system.kill_core(core));
     (0..CORES).for_each(|core| system.start_core(core, false));
 
-    let read = ask_until_executed(&system, "GET", "/v1/cells/g1.a", &Value::Null);
+    let read = call_until_executed(&system, "GET", "/v1/cells/g1.a", &Value::Null);
     assert_eq!(read.body, json!({ "value": "two", "revision": second }));
-    let next = ask_until_executed(&system, "POST", "/v1/numbers/n1", &json!({}));
+    let next = call_until_executed(&system, "POST", "/v1/numbers/n1", &json!({}));
     assert!(next.body["value"].as_u64() > number.body["value"].as_u64());
     let other = json!({ "holder": "a2", "hold_ms": 1_000 });
-    let held = ask_until_executed(&system, "POST", "/v1/locks/l1", &other);
-    assert_eq!(held.status, 409, "{held:?}");
+    let rejected = call_until_executed(&system, "POST", "/v1/locks/l1", &other);
+    assert_eq!(rejected.status, 409, "{rejected:?}");
     let renewal = json!({
         "holder": "a1", "fence": acquired.body["fence"], "hold_ms": 600_000,
     });
-    let renewed = ask_until_executed(&system, "PUT", "/v1/locks/l1", &renewal);
+    let renewed = call_until_executed(&system, "PUT", "/v1/locks/l1", &renewal);
     assert_eq!(renewed.status, 200, "{renewed:?}");
     let path = format!("/v1/watch/g1.?after={first}&wait_ms=1000");
-    let watch = ask_until_executed(&system, "GET", &path, &Value::Null);
+    let watch = call_until_executed(&system, "GET", &path, &Value::Null);
     let event = json!({ "name": "g1.a", "value": "two", "revision": second });
     assert_eq!(watch.body, json!({ "events": [event], "revision": second }));
 }
--- a/tests/coordination/requests.rs
+++ b/tests/coordination/requests.rs
@@ -1,25 +1,29 @@
-//! Requests that are not as the service expects them: they are rejected and change nothing.
+//! Tests of invalid requests, which the service must reject without a change of state, and of valid
+//! requests at the limits.
 
-use super::{Answer, ask, ask_until_executed, program_path};
+use super::{Answer, call_core, call_until_executed, program_path};
 use serde_json::{Value, json};
 use woadstall_mock_servers::system::{System, call};
 
-/// Longer than any name or value may be.
+/// One byte more than the limit for names.
 const TOO_LONG_NAME: usize = 257;
+/// One byte more than the limit for values.
 const TOO_LONG_VALUE: usize = (64 << 10) + 1;
+/// Far above the longest lease, which is one day.
 const YEAR_MS: u64 = 365 * 24 * 60 * 60 * 1_000;
 
-/// The status and the text of a response.
-fn ask_for_text(method: &str, path: &str, body: &[u8], system: &System) -> (u16, String) {
+/// Sends a request to the first core server; returns the status and the body as text.
+fn call_for_text(method: &str, path: &str, body: &[u8], system: &System) -> (u16, String) {
     let answer = call(system.control(0), method, path, "", body).expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     (answer.status(), text)
 }
 
-/// What a rejected request must not have changed.
-fn observe(system: &System) -> (Value, Value, Value) {
-    let read = ask_until_executed(system, "GET", "/v1/cells/g1.a", &Value::Null);
-    let status = ask(system, 0, "GET", "/v1/status/coordination", &Value::Null);
+/// Reads the state that a rejected request must not change: a key, the sizes of the tables, and the
+/// events of a group.
+fn read_state(system: &System) -> (Value, Value, Value) {
+    let read = call_until_executed(system, "GET", "/v1/cells/g1.a", &Value::Null);
+    let status = call_core(system, 0, "GET", "/v1/status/coordination", &Value::Null);
     let status = status.expect("a status").body;
     let size = json!([
         status["leases"],
@@ -27,11 +31,11 @@
         status["keys"],
         status["events"]
     ]);
-    let watch = ask_until_executed(system, "GET", "/v1/watch/g1.?after=0", &Value::Null);
+    let watch = call_until_executed(system, "GET", "/v1/watch/g1.?after=0", &Value::Null);
     (read.body, size, watch.body)
 }
 
-/// A method, a path, a body, and the field that the rejection names.
+/// A method, a path, a body, and the field that the error message must name.
 type InvalidRequest = (&'static str, String, Value, &'static str);
 
 fn invalid_leases() -> Vec<InvalidRequest> {
@@ -100,8 +104,8 @@
 fn invalid_fields_are_named_and_nothing_is_changed() {
     let system = System::start(&program_path(), 0);
     let body = json!({ "value": "one" });
-    ask_until_executed(&system, "PUT", "/v1/cells/g1.a", &body);
-    let before = observe(&system);
+    call_until_executed(&system, "PUT", "/v1/cells/g1.a", &body);
+    let before = read_state(&system);
     let cases = [
         invalid_leases(),
         invalid_puts(),
@@ -110,23 +114,23 @@
     ];
     for (method, path, body, field) in cases.into_iter().flatten() {
         let body = body.to_string();
-        let (status, text) = ask_for_text(method, &path, body.as_bytes(), &system);
-        let shown: String = format!("{method} {path} {body}")
+        let (status, text) = call_for_text(method, &path, body.as_bytes(), &system);
+        let request_summary: String = format!("{method} {path} {body}")
             .chars()
             .take(120)
             .collect();
-        assert_eq!(status, 400, "{shown}: {text}");
-        assert!(text.contains(field), "{shown}: {text}");
+        assert_eq!(status, 400, "{request_summary}: {text}");
+        assert!(text.contains(field), "{request_summary}: {text}");
     }
-    assert_eq!(observe(&system), before);
+    assert_eq!(read_state(&system), before);
 }
 
 #[test]
-fn bodies_that_are_no_documents_are_rejected() {
+fn bodies_that_are_not_json_objects_are_rejected() {
     let system = System::start(&program_path(), 0);
     let body = json!({ "value": "one" });
-    ask_until_executed(&system, "PUT", "/v1/cells/g1.a", &body);
-    let before = observe(&system);
+    call_until_executed(&system, "PUT", "/v1/cells/g1.a", &body);
+    let before = read_state(&system);
     let deep = "[".repeat(100_000);
     let bodies: [&[u8]; 7] = [
         b"",
@@ -139,17 +143,17 @@
     ];
     for body in bodies {
         for (method, path) in [("PUT", "/v1/cells/g1.a"), ("POST", "/v1/locks/l1")] {
-            let (status, text) = ask_for_text(method, path, body, &system);
+            let (status, text) = call_for_text(method, path, body, &system);
             assert_eq!(status, 400, "{method} {path}: {text}");
         }
     }
-    assert_eq!(observe(&system), before);
+    assert_eq!(read_state(&system), before);
 }
 
 #[test]
 fn unknown_methods_get_405() {
     let system = System::start(&program_path(), 0);
-    ask_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
+    call_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
     let body = json!({ "holder": "a", "hold_ms": 1_000, "fence": 1, "value": "one" }).to_string();
     let cases = [
         ("/v1/locks/l1", &["GET", "PATCH", "HEAD", "OPTIONS"][..]),
@@ -162,16 +166,16 @@
     ];
     for (path, methods) in cases {
         for method in methods.iter().filter(|method| **method != "HEAD") {
-            let (status, text) = ask_for_text(method, path, body.as_bytes(), &system);
+            let (status, text) = call_for_text(method, path, body.as_bytes(), &system);
             assert_eq!(status, 405, "{method} {path}: {text}");
         }
     }
 }
 
 #[test]
-fn names_and_values_of_odd_bytes_come_back_as_they_went_in() {
+fn names_and_values_with_special_characters_round_trip() {
     let system = System::start(&program_path(), 0);
-    ask_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
+    call_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
     let longest = "v".repeat(TOO_LONG_VALUE - 1);
     let values = [
         "",
@@ -183,7 +187,7 @@
         "a.b/c?d#e",
         &longest,
     ];
-    // Encoded names, and the names that events have.
+    // Percent-encoded names with the decoded names, which the events contain.
     let names = [
         ("g2.plain", "g2.plain"),
         ("g2.%00", "g2.\u{0}"),
@@ -197,15 +201,15 @@
     let mut after = Value::Null;
     for ((encoded, name), value) in names.into_iter().zip(values) {
         let path = format!("/v1/cells/{encoded}");
-        let put = ask_until_executed(&system, "PUT", &path, &json!({ "value": value }));
+        let put = call_until_executed(&system, "PUT", &path, &json!({ "value": value }));
         assert_eq!(put.status, 200, "{encoded}: {put:?}");
         let revision = put.body["revision"].clone();
-        let read = ask_until_executed(&system, "GET", &path, &Value::Null);
+        let read = call_until_executed(&system, "GET", &path, &Value::Null);
         let expected = json!({ "value": value, "revision": revision });
         assert_eq!(read.body, expected, "{encoded}");
         if after != Value::Null {
             let path = format!("/v1/watch/g2.?after={after}");
-            let watch = ask_until_executed(&system, "GET", &path, &Value::Null);
+            let watch = call_until_executed(&system, "GET", &path, &Value::Null);
             let event = json!({ "name": name, "value": value, "revision": revision });
             assert_eq!(watch.body["events"], json!([event]), "{encoded}");
         }
@@ -213,14 +217,14 @@
     }
 }
 
-/// Names whose bytes are no text must not become one name.
+/// The server must not map different names with invalid UTF-8 to the same name by a lossy conversion.
 #[test]
-fn names_that_are_no_text_are_rejected() {
+fn names_with_invalid_utf8_are_rejected() {
     let system = System::start(&program_path(), 0);
-    ask_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
+    call_until_executed(&system, "POST", "/v1/numbers/n0", &json!({}));
     for name in ["%FF", "%FE", "%C3", "a%80"] {
         let path = format!("/v1/numbers/{name}");
-        let (status, text) = ask_for_text("POST", &path, b"{}", &system);
+        let (status, text) = call_for_text("POST", &path, b"{}", &system);
         assert_eq!(status, 400, "{name}: {text}");
     }
 }
@@ -229,11 +233,11 @@
 fn the_longest_lease_is_a_day() {
     let system = System::start(&program_path(), 0);
     let day = json!({ "holder": "a", "hold_ms": 24 * 60 * 60 * 1_000 });
-    let acquired: Answer = ask_until_executed(&system, "POST", "/v1/locks/l1", &day);
+    let acquired: Answer = call_until_executed(&system, "POST", "/v1/locks/l1", &day);
     assert_eq!(acquired.status, 200, "{acquired:?}");
     let shortest = json!({ "holder": "b", "hold_ms": 1 });
-    let held = ask_until_executed(&system, "POST", "/v1/locks/l1", &shortest);
-    assert_eq!(held.status, 409, "{held:?}");
-    let acquired = ask_until_executed(&system, "POST", "/v1/locks/l2", &shortest);
+    let rejected = call_until_executed(&system, "POST", "/v1/locks/l1", &shortest);
+    assert_eq!(rejected.status, 409, "{rejected:?}");
+    let acquired = call_until_executed(&system, "POST", "/v1/locks/l2", &shortest);
     assert_eq!(acquired.status, 200, "{acquired:?}");
 }
--- a/tests/coordination/shutdown.rs
+++ b/tests/coordination/shutdown.rs
@@ -1,6 +1,6 @@
-//! Calls and watches while a process gets SIGTERM.
+//! Tests of calls and watches during SIGTERM, and of a reload during the start of a server.
 
-use super::{START_TIMEOUT, ask_until_executed, program_path};
+use super::{START_TIMEOUT, call_until_executed, program_path};
 use serde_json::{Value, json};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
@@ -9,18 +9,18 @@
 use woadstall_mock_servers::http1::Message;
 use woadstall_mock_servers::system::{System, call};
 
-/// Clients that call while the process ends.
+/// Number of concurrent clients while the process shuts down.
 const CLIENTS: usize = 16;
-/// Starts that a reload interrupts.
+/// Number of server starts that a reload interrupts.
 const STARTS: usize = 8;
 
 fn revision_after_put(system: &System) -> Value {
     let body = json!({ "value": "one" });
-    ask_until_executed(system, "PUT", "/v1/cells/g1.a", &body).body["revision"].clone()
+    call_until_executed(system, "PUT", "/v1/cells/g1.a", &body).body["revision"].clone()
 }
 
-/// The number of watches that wait at a machine.
-fn waiting_watches(address: SocketAddr) -> Option<u64> {
+/// Returns the number of watches that are pending at a server.
+fn pending_watches(address: SocketAddr) -> Option<u64> {
     let status = call(address, "GET", "/v1/status/coordination", "", b"")?;
     let status: Value = serde_json::from_slice(&status.body).ok()?;
     status["watches"].as_u64()
@@ -40,7 +40,7 @@
         .collect();
     let begin = Instant::now();
     let expected = u64::try_from(CLIENTS).expect("a small number");
-    while waiting_watches(address) != Some(expected) {
+    while pending_watches(address) != Some(expected) {
         assert!(begin.elapsed() < START_TIMEOUT, "the watches wait");
     }
     system.core_process(0).signal("TERM");
@@ -51,8 +51,8 @@
     assert!(system.wait_for_core_end(0).success());
 }
 
-/// Calls on one connection until it ends; returns the statuses and whether the last call went without
-/// an answer although the process had not closed the connection before.
+/// Repeats a call on one connection until the connection ends. Returns the status of each call; `None`
+/// for a call without an answer.
 fn call_until_closed(address: SocketAddr) -> Vec<Option<u16>> {
     use std::io::Write;
     let stream = TcpStream::connect(address).expect("a connection");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_reload_while_a_machine_starts_does_not_end_it() {
+fn a_reload_during_a_server_start_does_not_end_the_process() {
     let mut system = System::start(&program_path(), 0);
     for _ in 0..STARTS {
         system.kill_core(0);
--- a/tests/coordination/waiting.rs
+++ b/tests/coordination/waiting.rs
@@ -1,6 +1,6 @@
-//! Many watches at a machine, and watches whose clients leave.
+//! Tests of many concurrent watches at one server, and of watches whose clients disconnect.
 
-use super::{CALLER_TIMEOUT, START_TIMEOUT, ask, ask_until_executed, program_path};
+use super::{CALLER_TIMEOUT, START_TIMEOUT, call_core, call_until_executed, program_path};
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -8,14 +8,14 @@
 use woadstall_mock_servers::http1::Message;
 use woadstall_mock_servers::system::System;
 
-/// Watches that wait at once.
+/// Number of concurrently pending watches.
 const WATCHES: usize = 300;
-/// A call beside them.
+/// Number of calls while the watches are pending.
 const CALLS: usize = 20;
 
 fn put(system: &System, value: &str) -> u64 {
     let body = json!({ "value": value });
-    let answer = ask_until_executed(system, "PUT", "/v1/cells/g1.a", &body);
+    let answer = call_until_executed(system, "PUT", "/v1/cells/g1.a", &body);
     answer.body["revision"].as_u64().expect("a revision")
 }
 
@@ -26,12 +26,14 @@
         "GET /v1/watch/g1.?after={after}&wait_ms={} HTTP/1.1\r\nHost: control.example\r\n\r\n",
         wait.as_millis()
     );
-    stream.write_all(text.as_bytes()).expect("it is sent");
+    stream
+        .write_all(text.as_bytes())
+        .expect("the request is sent");
     stream
 }
 
 fn status(system: &System, field: &str) -> u64 {
-    let status = ask(system, 0, "GET", "/v1/status/coordination", &Value::Null);
+    let status = call_core(system, 0, "GET", "/v1/status/coordination", &Value::Null);
     let status = status.expect("a status").body;
     status[field].as_u64().unwrap_or_default()
 }
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn many_watches_do_not_hinder_calls_and_all_get_the_event() {
+fn many_watches_do_not_delay_calls_and_all_receive_the_event() {
     let system = System::start(&program_path(), 0);
     let after = put(&system, "one");
     let wait = Duration::from_secs(20);
@@ -54,7 +56,7 @@
     wait_for_watches(&system, WATCHES);
     for _ in 0..CALLS {
         let begin = Instant::now();
-        let answer = ask(&system, 0, "POST", "/v1/numbers/n1", &json!({}));
+        let answer = call_core(&system, 0, "POST", "/v1/numbers/n1", &json!({}));
         assert_eq!(answer.expect("an answer").status, 200);
         assert!(begin.elapsed() < CALLER_TIMEOUT, "{:?}", begin.elapsed());
     }
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn a_watch_ends_when_its_client_leaves() {
+fn a_watch_ends_when_its_client_disconnects() {
     let system = System::start(&program_path(), 0);
     let after = put(&system, "one");
     let wait = Duration::from_secs(30);
