--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -1,4 +1,5 @@
-//! The plug-in beside the daemon: the same decisions, and one cold nodo that both feed.
+//! The Tower adapter and the daemon side by side: both must make the same decisions, and together they
+//! must not overload an upstream that restarts cold.
 
 mod common;
 
@@ -13,17 +14,17 @@
 use woadstall_mock_servers::simulated_upstream::{SimulatedUpstream, UpstreamSpec};
 use woadstall_tower::{Balance, Protocol};
 
-/// Six upstreams that write down the order in which they are asked. Every fifth request at one ends with a
-/// failure, so that attempts at others follow.
-fn recording(count: usize) -> (Vec<Upstream>, Arc<Mutex<Vec<usize>>>) {
+/// Starts `count` upstreams that record the order of their requests in a common list. Each upstream fails
+/// every fifth request, so that retries at other upstreams follow.
+fn recording_upstreams(count: usize) -> (Vec<Upstream>, Arc<Mutex<Vec<usize>>>) {
     let order = Arc::new(Mutex::new(Vec::new()));
     let upstream = |at: usize| {
-        let (order, asked) = (order.clone(), Mutex::new(0));
+        let (order, request_count) = (order.clone(), Mutex::new(0));
         Upstream::start(move |_| {
             order.lock().unwrap().push(at);
-            let mut asked = asked.lock().unwrap();
-            *asked += 1;
-            match *asked % 5 {
+            let mut request_count = request_count.lock().unwrap();
+            *request_count += 1;
+            match *request_count % 5 {
                 0 => Reaction::Respond(
                     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
                 ),
@@ -34,8 +35,8 @@
     ((0..count).map(upstream).collect(), order)
 }
 
-/// A configuration of two zones, with so many classes that none is called often enough for its measured latency,
-/// which no two runs share, to weigh in.
+/// A configuration with two zones and `CLASSES` classes. Measured latencies differ between runs; with
+/// this many classes, no class gets enough calls for its measured latency to influence the decisions.
 fn many_classes(known: &[String]) -> serde_json::Value {
     let mut config = config(refused_address(), known);
     config["settings"]["Zones"] = serde_json::json!(["a", "b"]);
@@ -52,11 +53,14 @@
 }
 
 const CLASSES: usize = 24;
-const CALLS: usize = 7;
+/// Calls per class.
+const CALLS_PER_CLASS: usize = 7;
 
-/// One caller's calls: the class of each, and whether it is safe.
-fn script() -> impl Iterator<Item = (String, usize)> {
-    (0..CLASSES * CALLS).map(|call| (format!("class-{}", call % CLASSES), call % CLASSES % 3))
+/// The calls of one client: the class name, and the effect of the call (0: safe, 1: idempotent by its
+/// key, 2: non-idempotent).
+fn scripted_calls() -> impl Iterator<Item = (String, usize)> {
+    (0..CLASSES * CALLS_PER_CLASS)
+        .map(|call| (format!("class-{}", call % CLASSES), call % CLASSES % 3))
 }
 
 fn request_of(class: &str, effect: usize, id: usize) -> Request<Full<Bytes>> {
@@ -75,12 +79,13 @@
     request.body(Full::default()).unwrap()
 }
 
-/// One scripted caller through both paths: the same upstreams in the same order, retries included.
+/// The same scripted calls through the daemon and the adapter must reach the same upstreams in the same
+/// order, including retries.
 #[tokio::test]
 async fn both_paths_choose_identical_upstreams_in_order() {
     let mut orders = Vec::new();
-    for plugged_in in [false, true] {
-        let (upstreams, order) = recording(6);
+    for uses_adapter in [false, true] {
+        let (upstreams, order) = recording_upstreams(6);
         let entry = |(at, upstream): (usize, &Upstream)| {
             let zone = if at % 2 == 0 {
                 "\"az\":\"a\""
@@ -91,7 +96,7 @@
         };
         let known: Vec<_> = upstreams.iter().enumerate().map(entry).collect();
         let config = many_classes(&known);
-        if plugged_in {
+        if uses_adapter {
             let seed = u64::from_str_radix(config["seed"].as_str().unwrap(), 16).unwrap();
             let builder = Balance::builder()
                 .settings(config["settings"].to_string().as_bytes())
@@ -103,13 +108,13 @@
                 .protocol(Protocol::Http1)
                 .build()
                 .unwrap();
-            for (id, (class, effect)) in script().enumerate() {
+            for (id, (class, effect)) in scripted_calls().enumerate() {
                 balance.call(request_of(&class, effect, id)).await.unwrap();
             }
         } else {
             let program = Program::start(&config);
             let mut caller = program.connect();
-            for (id, (class, effect)) in script().enumerate() {
+            for (id, (class, effect)) in scripted_calls().enumerate() {
                 let (method, key) = match effect {
                     0 => ("GET", String::new()),
                     1 => ("POST", format!("Idempotency-Key: k-{id}\r\n")),
@@ -123,17 +128,20 @@
             }
         }
         let order = order.lock().unwrap().clone();
-        assert!(order.len() > CLASSES * CALLS, "there were retries");
+        assert!(
+            order.len() > CLASSES * CALLS_PER_CLASS,
+            "there were retries"
+        );
         assert!(
             (0..6).filter(|at| order.contains(at)).count() >= 3,
-            "the own zone's at least"
+            "at least the upstreams of the local zone are used"
         );
         orders.push(order);
     }
     assert_eq!(orders[0], orders[1]);
 }
 
-const WARMING: UpstreamSpec = UpstreamSpec {
+const COLD_START: UpstreamSpec = UpstreamSpec {
     slots: 4,
     service_time: Duration::from_millis(20),
     queue_length: 40,
@@ -143,22 +151,20 @@
     window: Duration::from_millis(1_500),
 };
 
-/// Rule 4 on sockets: a nodo restarts cold under one daemon and forty plug-ins that know nothing of each other.
+/// Rule 4 on real sockets: an upstream restarts cold under load from one daemon and forty adapters that
+/// do not coordinate with each other. Their combined load must not overload it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one course of events, or one table of cases"
-)]
-async fn an_upstream_restarted_under_daemon_and_plug_ins_is_not_overloaded() {
-    let mut nodos = Vec::new();
+#[expect(clippy::too_many_lines, reason = "one sequence of events")]
+async fn an_upstream_restarted_under_daemon_and_adapters_is_not_overloaded() {
+    let mut upstreams = Vec::new();
     for at in 0..4 {
-        nodos.push(SimulatedUpstream::start(format!("n-{at}"), WARMING).await);
+        upstreams.push(SimulatedUpstream::start(format!("n-{at}"), COLD_START).await);
     }
     let list = |state: &str| {
-        nodos
+        upstreams
             .iter()
             .enumerate()
-            .map(|(at, n)| n.target("a", if at == 0 { state } else { "in_service" }))
+            .map(|(at, upstream)| upstream.target("a", if at == 0 { state } else { "in_service" }))
             .collect()
     };
     let known: Vec<String> = list("in_service");
@@ -185,12 +191,13 @@
             .build()
             .unwrap()
     };
-    let plugins: Vec<Balance> = (0..40).map(build).collect();
-    // 800 calls a second is what the four can do; a bit over half of that comes, a fifth of it by the daemon.
+    let adapters: Vec<Balance> = (0..40).map(build).collect();
+    // The capacity of the four upstreams is 800 calls per second. The offered load is slightly more than
+    // half of that, and a fifth of the load comes through the daemon.
     let served = Arc::new(std::sync::atomic::AtomicU32::new(0));
     let stop = tokio::time::Instant::now() + Duration::from_secs(8);
     let mut callers = tokio::task::JoinSet::new();
-    for (at, balance) in plugins.into_iter().enumerate() {
+    for (at, balance) in adapters.into_iter().enumerate() {
         let served = served.clone();
         callers.spawn(async move {
             let mut call = 0;
@@ -225,25 +232,31 @@
         });
     }
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    nodos[0].kill();
+    upstreams[0].kill();
     discovery.set(&list("terminating"));
     tokio::time::sleep(Duration::from_millis(500)).await;
-    nodos[0].restart().await;
+    upstreams[0].restart().await;
     discovery.set(&list("in_service"));
     while callers.join_next().await.is_some() {}
-    let counters = nodos[0].counters();
+    let counters = upstreams[0].counters();
     assert!(
         !counters.overloaded,
-        "it was sent {:.2} of what pushes it over",
+        "the restarted upstream got {:.2} of its overload threshold",
         counters.peak_load
     );
-    assert!(counters.peak_load > 0.0, "it was used while cold");
+    assert!(
+        counters.peak_load > 0.0,
+        "the restarted upstream got requests while cold"
+    );
     let served = served.load(std::sync::atomic::Ordering::Relaxed);
     assert!(served > 1_000, "{served} served");
-    let twice = nodos
+    let repeated_executions = upstreams
         .iter()
-        .flat_map(|nodo| nodo.counters().executions_by_call_id)
-        .filter(|(_, ran)| *ran > 1)
+        .flat_map(|upstream| upstream.counters().executions_by_call_id)
+        .filter(|(_, executions)| *executions > 1)
         .count();
-    assert_eq!(twice, 0, "unsafe work ran twice");
+    assert_eq!(
+        repeated_executions, 0,
+        "a non-idempotent call was executed twice"
+    );
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what is checked before use, and how a fault is said.
+//! Tests of the command line: the `check` command, and the reports of configuration errors.
 
 #[path = "common/program.rs"]
 mod program;
@@ -36,8 +36,8 @@
 
 #[test]
 fn valid_files_pass_and_errors_are_one_line_each() {
-    let sound = config(refused_address(), &[]);
-    let good = file("good.json", &sound.to_string());
+    let valid = config(refused_address(), &[]);
+    let good = file("good.json", &valid.to_string());
     let operator = file("operator.toml", "[plugin]\nconnections = 2\n");
     let (passed, lines) = check(&[&good, &operator]);
     assert!(
@@ -45,16 +45,16 @@
         "{lines:?}"
     );
 
-    let mut faulty = sound.clone();
-    faulty["settings"]["Limits"]["TryLimit"] = 0.into();
-    let faulty = file("faulty.json", &faulty.to_string());
-    let mut short = sound.clone();
-    short.as_object_mut().unwrap().remove("limits");
-    let short = file("short.json", &short.to_string());
+    let mut invalid = valid.clone();
+    invalid["settings"]["Limits"]["TryLimit"] = 0.into();
+    let invalid = file("faulty.json", &invalid.to_string());
+    let mut incomplete = valid.clone();
+    incomplete.as_object_mut().unwrap().remove("limits");
+    let incomplete = file("short.json", &incomplete.to_string());
     let unknown = file("unknown.toml", "[plugin]\nconections = 2\n");
     let other = file("other.yaml", "");
     let missing = PathBuf::from("nowhere.toml");
-    let (passed, lines) = check(&[&good, &faulty, &short, &unknown, &other, &missing]);
+    let (passed, lines) = check(&[&good, &invalid, &incomplete, &unknown, &other, &missing]);
     assert!(!passed);
     let expected = [
         "sound",
@@ -89,7 +89,7 @@
         "an unknown command"
     );
     assert!(!woadstall(&["check"]).status.success(), "no file");
-    // Without a command it serves, and says in one line why it cannot.
+    // Without a command, the program serves; a failure to start is reported in one line.
     let serve = woadstall(&[]);
     let text = String::from_utf8(serve.stderr).unwrap();
     assert!(
--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -1,5 +1,5 @@
-//! Clients that leave. Nothing more is owed to them: their attempts are withdrawn, nothing begins for them, and what
-//! they held is free.
+//! Tests of clients that disconnect: the balancer cancels their attempts, starts no further attempts and
+//! releases their capacity and request ids.
 
 mod common;
 
@@ -8,11 +8,13 @@
 use std::net::TcpStream;
 use woadstall_mock_servers::http1::*;
 
-/// More than a balancer reads ahead behind an open request, and less than the kernel takes in for it: behind a full
-/// window, the end of a client does not even reach the balancer's machine.
-const FAR_AHEAD: usize = 40 << 10;
+/// Size of the pipelined bytes behind an open request: more than the balancer reads ahead, and less than
+/// the receive buffer of the kernel. Behind a full TCP window, the FIN of the client would not reach the
+/// host of the balancer.
+const PIPELINED_BYTES: usize = 40 << 10;
 
-/// A client whose end stands behind more than is read ahead.
+/// The balancer must detect a disconnect even if the client has pipelined more bytes than the balancer
+/// reads ahead.
 #[test]
 fn a_disconnect_shows_behind_pipelined_bytes() {
     let upstream = Upstream::start(|_| Reaction::Stall);
@@ -22,10 +24,10 @@
         .write_all(request("post", LONG_BUDGET, "first").as_bytes())
         .unwrap();
     upstream.request();
-    let ahead: String = std::iter::repeat_with(|| request("post", LONG_BUDGET, "ahead"))
-        .take(FAR_AHEAD / 200)
+    let pipelined: String = std::iter::repeat_with(|| request("post", LONG_BUDGET, "ahead"))
+        .take(PIPELINED_BYTES / 200)
         .collect();
-    client.write_all(ahead.as_bytes()).unwrap();
+    client.write_all(pipelined.as_bytes()).unwrap();
     drop(client);
     upstream.wait_until_closed();
     assert_eq!(
@@ -35,7 +37,8 @@
     );
 }
 
-/// What was written far ahead is served in its order once there is room for it.
+/// Requests that are pipelined beyond the read-ahead limit are served in order once the balancer has room
+/// for them.
 #[test]
 fn pipelined_requests_have_responses_in_order() {
     let upstream = Upstream::start(|message| {
@@ -59,7 +62,8 @@
     assert_eq!(upstream.count_requests(), bodies.len());
 }
 
-/// Hundreds at once, closed in order and by a reset; their places and their names are free at once.
+/// 200 clients disconnect at once, half by FIN and half by RST. The balancer must release their capacity
+/// and request ids immediately.
 #[test]
 fn a_crowd_that_disconnects_frees_its_capacity_and_ids() {
     let upstream = Upstream::start(|message| match message.body == b"held" {
@@ -68,7 +72,7 @@
     });
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let id = |number: usize| format!("9b1f03aa{number:08x}");
-    let crowd: Vec<TcpStream> = (0..200)
+    let clients: Vec<TcpStream> = (0..200)
         .map(|number| {
             let mut client = TcpStream::connect(program.address).unwrap();
             client
@@ -78,7 +82,7 @@
             client
         })
         .collect();
-    for (number, client) in crowd.into_iter().enumerate() {
+    for (number, client) in clients.into_iter().enumerate() {
         if number % 2 == 0 {
             socket2::SockRef::from(&client)
                 .set_linger(Some(std::time::Duration::ZERO))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The built program, running.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Starts the built binary as a process, and accesses its log, signals and operator API.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod program;
 
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::{Caller, LONG_BUDGET, Message};
 
-/// The program, running.
+/// A running process of the load balancer; killed on drop.
 pub struct Program {
     child: Child,
     config: PathBuf,
@@ -26,7 +26,7 @@
         Self::start_with(config, &[])
     }
 
-    /// Starts it with so many descriptors as the system allows it.
+    /// Starts the program with `descriptors` as the system's limit of open files (`ulimit -n`).
     pub fn start_limited(config: &serde_json::Value, descriptors: u32) -> Self {
         let mut shell = Command::new("sh");
         shell.args([
@@ -34,21 +34,23 @@
             &format!("ulimit -n {descriptors}; exec \"$0\""),
             program_path().to_str().expect("a path in UTF-8"),
         ]);
-        Self::started(spawn_as(shell, &config.to_string(), &[]))
+        Self::from_spawned(spawn_as(shell, &config.to_string(), &[]))
     }
 
-    /// Starts it with more in its environment.
+    /// Starts the program with additional environment variables.
     pub fn start_with(config: &serde_json::Value, environment: &[(&str, String)]) -> Self {
-        Self::started(spawn(&config.to_string(), environment))
+        Self::from_spawned(spawn(&config.to_string(), environment))
     }
 
-    fn started((mut child, mut log, config): (Child, BufReader<ChildStderr>, PathBuf)) -> Self {
+    fn from_spawned(
+        (mut child, mut log, config): (Child, BufReader<ChildStderr>, PathBuf),
+    ) -> Self {
         let mut line = String::new();
         while !line.contains("listening address=") {
             line.clear();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
-                "the program has ended before it listened"
+                "the program ended before it listened"
             );
         }
         let address = line.trim().rsplit('=').next().unwrap().parse();
@@ -64,12 +66,12 @@
         }
     }
 
-    /// Starts it with a second address, for operators.
+    /// Starts the program with an admin address, which serves the operator API.
     pub fn start_with_admin(config: &serde_json::Value) -> (Self, Operators) {
         Self::start_in(config, &[])
     }
 
-    /// The same with more in its environment.
+    /// Starts the program with an admin address and additional environment variables.
     pub fn start_in(
         config: &serde_json::Value,
         environment: &[(&str, String)],
@@ -77,7 +79,7 @@
         let mut config = config.clone();
         config["admin"] = "127.0.0.1:0".into();
         let mut program = Self::start_with(&config, environment);
-        let line = program.logged("admin_listening address=");
+        let line = program.wait_for_log("admin_listening address=");
         let address = line
             .trim()
             .rsplit('=')
@@ -93,7 +95,7 @@
         self.signal("-TERM");
     }
 
-    /// Puts this text in place of the configuration and sends SIGHUP.
+    /// Replaces the configuration file by this text and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).unwrap();
         self.signal("-HUP");
@@ -107,13 +109,13 @@
         assert!(sent.success());
     }
 
-    /// Waits for a line of the log that holds this text.
-    pub fn logged(&mut self, text: &str) -> String {
+    /// Reads the log up to the next line that contains `text`, and returns that line.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
             assert!(
                 self.log.read_line(&mut line).unwrap() > 0,
-                "the program has ended, not logged {text:?}"
+                "the program ended before it logged {text:?}"
             );
             if line.contains(text) {
                 return line;
@@ -121,24 +123,24 @@
         }
     }
 
-    /// Descriptors that it holds.
+    /// Returns the number of open file descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
-    /// Resident memory, in KiB.
-    pub fn memory(&self) -> u64 {
+    /// Returns the resident memory of the process in KiB.
+    pub fn resident_memory_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status
             .lines()
             .find(|line| line.starts_with("VmRSS"))
-            .expect("its memory");
+            .expect("the status has a line VmRSS");
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Waits for the end; the rest of the log comes with it.
+    /// Waits until the process ends; returns its exit status and the rest of the log.
     pub fn end(mut self) -> (ExitStatus, String) {
         let mut log = String::new();
         self.log.read_to_string(&mut log).unwrap();
@@ -153,7 +155,7 @@
         Caller::connect(self.address)
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection.
     pub fn call(&self, class: &str) -> Message {
         self.connect()
             .call(class, LONG_BUDGET, "body")
@@ -168,7 +170,7 @@
     }
 }
 
-/// A program's second address.
+/// The admin address of a program, which serves the operator API.
 pub struct Operators {
     pub address: SocketAddr,
 }
@@ -194,24 +196,24 @@
         caller.read_response().expect("an answer to operators")
     }
 
-    /// The figures by name, labels included.
-    pub fn figures(&self) -> HashMap<String, f64> {
+    /// Reads the metrics; the keys are the names with labels.
+    pub fn metrics(&self) -> HashMap<String, f64> {
         let text = String::from_utf8(self.get("/control/counters").body).unwrap();
         let lines = text.lines().filter(|line| !line.starts_with('#'));
-        let figure = |line: &str| {
+        let parse_line = |line: &str| {
             let (name, value) = line.rsplit_once(' ').expect("a name and a value");
             (name.to_owned(), value.parse().expect("a number"))
         };
-        lines.map(figure).collect()
+        lines.map(parse_line).collect()
     }
 }
 
-/// Runs the program with this text as its configuration until it ends by itself.
+/// Runs the program with this configuration until the process ends; returns its exit status and log.
 pub fn run_to_end(config: &str) -> (ExitStatus, String) {
     run_to_end_in(config, &[])
 }
 
-/// The same with more in its environment.
+/// Runs the program like `run_to_end`, with additional environment variables.
 pub fn run_to_end_in(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
     let (mut child, mut log, _) = spawn(config, environment);
     let mut text = String::new();
@@ -246,11 +248,11 @@
     (child, log, path)
 }
 
-/// Waits until it is so, for twenty seconds at most.
-pub fn until(what: &str, mut there: impl FnMut() -> bool) {
+/// Waits until the condition holds; panics with `description` after twenty seconds.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !there() {
-        assert!(began.elapsed() < Duration::from_secs(20), "{what}");
+    while !condition() {
+        assert!(began.elapsed() < Duration::from_secs(20), "{description}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -2,9 +2,9 @@
 
 use std::path::PathBuf;
 
-/// The program of this build; or the one that `WOADSTALL_TEST_PROGRAM` names, so that the tests also run what a deploy file
-/// builds, which optimisation makes another program.
+/// Returns the path in `WOADSTALL_TEST_PROGRAM`, or else the binary of this build. The variable lets the
+/// tests run the optimised binary of a deployment, which differs from the test build.
 pub fn program_path() -> PathBuf {
-    let named = std::env::var_os("WOADSTALL_TEST_PROGRAM");
-    named.map_or_else(|| env!("CARGO_BIN_EXE_woadstall").into(), PathBuf::from)
+    let configured_path = std::env::var_os("WOADSTALL_TEST_PROGRAM");
+    configured_path.map_or_else(|| env!("CARGO_BIN_EXE_woadstall").into(), PathBuf::from)
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! The right answer to the right caller, at most once: a front against upstreams that break the protocol, on real sockets. Each
-//! crossing is forced, and nothing of one request may reach another one.
+//! Tests of a front against upstreams that violate the protocol, on real sockets: each client must get
+//! only the response to its own request, and each non-idempotent request must be sent at most once. Each
+//! test provokes one way in which the data of one request could reach another request.
 
 #[path = "common/program.rs"]
 mod program;
@@ -14,8 +15,8 @@
 use woadstall_mock_servers::http1::{Message, Reaction, TEST_TIMEOUT, Upstream};
 use woadstall_mock_servers::system::{System, call, events, response};
 
-/// How soon after a client has left its upstreams hear of it.
-const HEARD_OF: Duration = Duration::from_millis(500);
+/// Time limit from the disconnect of a client to the cancellation at its upstream.
+const CANCELLATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn system(timeout_ms: u64, attempts: u64) -> System {
     let system = System::start(&program_path(), 1);
@@ -39,7 +40,7 @@
     system
 }
 
-fn ask(front: SocketAddr, path: &str, id: &str, body: &[u8]) -> Option<Message> {
+fn post(front: SocketAddr, path: &str, id: &str, body: &[u8]) -> Option<Message> {
     call(
         front,
         "POST",
@@ -49,13 +50,13 @@
     )
 }
 
-/// An upstream whose connections are in the test's hands.
-struct Raw {
+/// An upstream whose connections the test reads and writes itself.
+struct ManualUpstream {
     address: SocketAddr,
     connections: Receiver<TcpStream>,
 }
 
-impl Raw {
+impl ManualUpstream {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -77,11 +78,11 @@
     fn next(&self) -> TcpStream {
         self.connections
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a connection comes")
+            .expect("the front opens a connection")
     }
 }
 
-/// Makes the kernel reset the connection instead of ending it in order.
+/// Makes the kernel close the connection with RST instead of FIN.
 fn reset(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
@@ -99,7 +100,7 @@
     system.register(0, "i-1", "s", upstream.address, 0);
     for number in 0..8 {
         let id = format!("r-{number}");
-        let Some(reply) = ask(front, "/once/1", &id, b"{}") else {
+        let Some(reply) = post(front, "/once/1", &id, b"{}") else {
             continue;
         };
         if reply.status() == 200 {
@@ -107,17 +108,20 @@
             assert_eq!(reply.headers["response-stamp"], format!("stamp-{id}"));
         }
     }
-    assert!(upstream.count_requests() <= 8, "each was sent once at most");
+    assert!(
+        upstream.count_requests() <= 8,
+        "each request was sent at most once"
+    );
 }
 
 #[test]
 fn a_delayed_second_response_is_recognized_by_its_id() {
     let system = system(5_000, 1);
     let front = system.front(0);
-    let raw = Raw::start();
+    let raw = ManualUpstream::start();
     system.register(0, "i-1", "s", raw.address, 0);
     thread::scope(|scope| {
-        let first = scope.spawn(|| ask(front, "/once/1", "r-1", b"{}"));
+        let first = scope.spawn(|| post(front, "/once/1", "r-1", b"{}"));
         let stream = raw.next();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let request = Message::read(&mut input).unwrap();
@@ -125,8 +129,9 @@
             .write_all(response(&request, "first").as_bytes())
             .unwrap();
         assert_eq!(first.join().unwrap().unwrap().body, b"first");
-        // The next request goes out over the same connection, where it still is: what comes then is the old one's.
-        let second = scope.spawn(|| ask(front, "/once/1", "r-2", b"{}"));
+        // The front sends the next request on the same connection, and the upstream responds with a second
+        // response to the first request.
+        let second = scope.spawn(|| post(front, "/once/1", "r-2", b"{}"));
         let next = Message::read(&mut input);
         assert_eq!(
             next.expect("the connection is kept").headers["request-id"],
@@ -138,9 +143,9 @@
         assert_eq!(
             second.join().unwrap().expect("an answer").status(),
             502,
-            "it may have run"
+            "the request may have been executed"
         );
-        // The connection is in doubt: nothing more is sent on it.
+        // After a response with a wrong id, the front must send nothing more on the connection.
         assert!(Message::read(&mut input).is_none());
     });
 }
@@ -160,7 +165,7 @@
     });
     system.register(0, "i-1", "s", upstream.address, 0);
     for id in ["r-1", "r-2"] {
-        let reply = ask(front, "/once/1", id, b"{}").expect("an answer");
+        let reply = post(front, "/once/1", id, b"{}").expect("an answer");
         assert_eq!(
             (reply.status(), reply.headers.get("response-stamp")),
             (502, None),
@@ -174,11 +179,11 @@
     const BODY: usize = 3 << 20;
     let system = system(5_000, 1);
     let front = system.front(0);
-    let raw = Raw::start();
+    let raw = ManualUpstream::start();
     system.register(0, "i-1", "s", raw.address, 0);
     let body: Vec<u8> = (0..BODY).map(|position| (position % 251) as u8).collect();
     thread::scope(|scope| {
-        let asked = scope.spawn(|| ask(front, "/once/1", "r-1", &body));
+        let response_thread = scope.spawn(|| post(front, "/once/1", "r-1", &body));
         let mut stream = raw.next();
         let mut head = Vec::new();
         let mut byte = [0];
@@ -189,9 +194,12 @@
         let early =
             "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(early.as_bytes()).unwrap();
-        assert_eq!(asked.join().unwrap().expect("an answer").status(), 200);
-        // The rest of the body is owed in full, or nothing more comes on this connection.
-        let next = scope.spawn(|| ask(front, "/once/1", "r-2", b"{}"));
+        assert_eq!(
+            response_thread.join().unwrap().expect("an answer").status(),
+            200
+        );
+        // The front must either send the rest of the body or send nothing more on this connection.
+        let next = scope.spawn(|| post(front, "/once/1", "r-2", b"{}"));
         let mut rest = Vec::new();
         stream
             .try_clone()
@@ -201,22 +209,22 @@
             .ok();
         assert!(
             rest[..] == body[..rest.len()],
-            "other bytes where the body is due"
+            "the bytes after the head differ from the request body"
         );
-        let mut carrier = if rest.len() == BODY {
+        let mut next_stream = if rest.len() == BODY {
             stream
         } else {
             raw.next()
         };
-        let request = match Message::read(&mut BufReader::new(carrier.try_clone().unwrap())) {
+        let request = match Message::read(&mut BufReader::new(next_stream.try_clone().unwrap())) {
             Some(request) => request,
             None => {
-                carrier = raw.next();
-                Message::read(&mut BufReader::new(carrier.try_clone().unwrap())).unwrap()
+                next_stream = raw.next();
+                Message::read(&mut BufReader::new(next_stream.try_clone().unwrap())).unwrap()
             }
         };
         assert_eq!(request.headers["request-id"], "r-2");
-        carrier
+        next_stream
             .write_all(response(&request, "second").as_bytes())
             .unwrap();
         assert_eq!(next.join().unwrap().expect("an answer").body, b"second");
@@ -227,23 +235,23 @@
 fn a_response_without_a_length_that_ends_with_a_reset_is_truncated() {
     let system = system(5_000, 1);
     let front = system.front(0);
-    let raw = Raw::start();
+    let raw = ManualUpstream::start();
     system.register(0, "i-1", "s", raw.address, 0);
-    for (id, resets) in [("r-1", false), ("r-2", true)] {
+    for (id, is_reset) in [("r-1", false), ("r-2", true)] {
         thread::scope(|scope| {
-            let asked = scope.spawn(|| ask(front, "/once/1", id, b"{}"));
+            let response_thread = scope.spawn(|| post(front, "/once/1", id, b"{}"));
             let mut stream = raw.next();
             Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
             let head = format!(
                 "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Stamp: s\r\nConnection: close\r\n\r\nhalf"
             );
             stream.write_all(head.as_bytes()).unwrap();
-            if resets {
+            if is_reset {
                 reset(&stream);
             }
             drop(stream);
-            let reply = asked.join().unwrap().expect("an answer");
-            assert_eq!(reply.status(), if resets { 502 } else { 200 }, "{id}");
+            let reply = response_thread.join().unwrap().expect("an answer");
+            assert_eq!(reply.status(), if is_reset { 502 } else { 200 }, "{id}");
         });
     }
 }
@@ -255,7 +263,7 @@
     let upstream = Upstream::start(|request| Reaction::RespondAndClose(response(request, "own")));
     system.register(0, "i-1", "s", upstream.address, 0);
     for number in 0..10 {
-        let reply = ask(front, "/once/1", &format!("r-{number}"), b"{}").expect("an answer");
+        let reply = post(front, "/once/1", &format!("r-{number}"), b"{}").expect("an answer");
         assert_eq!(reply.status(), 200, "request {number}");
         assert_eq!(
             upstream.request().headers["request-id"],
@@ -263,14 +271,14 @@
         );
         upstream.wait_until_closed();
     }
-    assert_eq!(upstream.count_requests(), 0, "each was sent once");
+    assert_eq!(upstream.count_requests(), 0, "each request was sent once");
 }
 
 #[test]
-fn a_request_that_was_written_and_reset_is_not_sent_again_unless_it_may_be() {
+fn a_request_that_was_written_and_reset_is_retried_only_if_it_is_safe() {
     let system = system(5_000, 2);
     let front = system.front(0);
-    let (one, other) = (Raw::start(), Raw::start());
+    let (one, other) = (ManualUpstream::start(), ManualUpstream::start());
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
     let sent = |path: &str| {
@@ -280,8 +288,8 @@
                 let streams: Vec<TcpStream> = raw.connections.try_iter().collect();
                 drop(streams);
             }
-            let asked = scope.spawn(|| ask(front, path, "r-1", b"{}"));
-            while !asked.is_finished() {
+            let response_thread = scope.spawn(|| post(front, path, "r-1", b"{}"));
+            while !response_thread.is_finished() {
                 for raw in [&one, &other] {
                     let Ok(stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else {
                         continue;
@@ -295,7 +303,7 @@
             drop(count);
             (
                 counted.iter().count(),
-                asked.join().unwrap().expect("an answer").status(),
+                response_thread.join().unwrap().expect("an answer").status(),
             )
         })
     };
@@ -310,25 +318,26 @@
     let upstream = Upstream::start(|_| Reaction::Stall);
     system.register(0, "i-1", "s", upstream.address, 0);
     let begin = Instant::now();
-    let reply = ask(front, "/once/1", "r-1", b"{}").expect("an answer");
+    let reply = post(front, "/once/1", "r-1", b"{}").expect("an answer");
     let took = begin.elapsed();
     assert_eq!(reply.status(), 504);
     assert!(
-        took >= Duration::from_millis(650) && took < Duration::from_millis(700) + HEARD_OF,
+        took >= Duration::from_millis(650)
+            && took < Duration::from_millis(700) + CANCELLATION_TIMEOUT,
         "{took:?}"
     );
     upstream.request();
     upstream.wait_until_closed();
-    assert_eq!(upstream.count_requests(), 0, "it was sent once");
+    assert_eq!(upstream.count_requests(), 0, "the request was sent once");
 }
 
 #[test]
 fn a_disconnected_client_cancels_its_request_and_its_stream() {
     let system = system(20_000, 2);
     let front = system.front(0);
-    let raw = Raw::start();
+    let raw = ManualUpstream::start();
     system.register(0, "i-1", "s", raw.address, 0);
-    for (path, begins) in [("/safe/1", false), ("/stream/1", true)] {
+    for (path, has_response_begun) in [("/safe/1", false), ("/stream/1", true)] {
         let mut client = TcpStream::connect(front).unwrap();
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r-1\r\nDeadline: 20000\r\nContent-Length: 0\r\n\r\n"
@@ -336,7 +345,7 @@
         client.write_all(head.as_bytes()).unwrap();
         let mut stream = raw.next();
         let request = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
-        if begins {
+        if has_response_begun {
             stream
                 .write_all(events(&request, &["id: 1\ndata: a\n\n"], false).as_bytes())
                 .unwrap();
@@ -349,31 +358,34 @@
         let mut rest = Vec::new();
         stream.read_to_end(&mut rest).ok();
         assert!(
-            left.elapsed() < HEARD_OF,
-            "{path}: the upstream hears of it after {:?}",
+            left.elapsed() < CANCELLATION_TIMEOUT,
+            "{path}: the upstream is notified after {:?}",
             left.elapsed()
         );
-        assert!(rest.is_empty(), "{path}: more is sent");
-        let quiet = raw.connections.recv_timeout(HEARD_OF);
         assert!(
-            quiet.is_err(),
-            "{path}: it is sent elsewhere after its client has left"
+            rest.is_empty(),
+            "{path}: bytes are sent after the disconnect"
+        );
+        let retry = raw.connections.recv_timeout(CANCELLATION_TIMEOUT);
+        assert!(
+            retry.is_err(),
+            "{path}: the request is sent to an upstream again after its client has disconnected"
         );
     }
 }
 
 #[test]
-fn what_is_left_of_the_time_is_handed_on_and_less_the_second_time() {
+fn the_remaining_deadline_is_forwarded_and_decreases_with_each_attempt() {
     let system = system(20_000, 2);
     let front = system.front(0);
-    let (one, other) = (Raw::start(), Raw::start());
+    let (one, other) = (ManualUpstream::start(), ManualUpstream::start());
     system.register(0, "i-1", "s", one.address, 0);
     system.register(0, "i-2", "s", other.address, 0);
-    const WORKED: Duration = Duration::from_millis(400);
-    let mut told: Vec<u64> = Vec::new();
+    const PROCESSING_TIME: Duration = Duration::from_millis(400);
+    let mut forwarded_deadlines_ms: Vec<u64> = Vec::new();
     thread::scope(|scope| {
-        let asked = scope.spawn(|| ask(front, "/safe/1", "r-1", b"{}"));
-        while told.len() < 2 {
+        let response_thread = scope.spawn(|| post(front, "/safe/1", "r-1", b"{}"));
+        while forwarded_deadlines_ms.len() < 2 {
             for raw in [&one, &other] {
                 let Ok(mut stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else {
                     continue;
@@ -382,17 +394,17 @@
                 else {
                     continue;
                 };
-                told.push(request.headers["deadline"].parse().unwrap());
-                if told.len() == 1 {
+                forwarded_deadlines_ms.push(request.headers["deadline"].parse().unwrap());
+                if forwarded_deadlines_ms.len() == 1 {
                     let elsewhere = if raw.address == one.address {
                         &other
                     } else {
                         &one
                     };
-                    let sent_elsewhere = elsewhere.connections.recv_timeout(WORKED);
+                    let sent_elsewhere = elsewhere.connections.recv_timeout(PROCESSING_TIME);
                     assert!(
                         sent_elsewhere.is_err(),
-                        "nobody else gets it while this one works"
+                        "no other upstream gets the request while the first one processes it"
                     );
                     reset(&stream);
                 } else {
@@ -402,11 +414,18 @@
                 }
             }
         }
-        assert_eq!(asked.join().unwrap().expect("an answer").status(), 200);
+        assert_eq!(
+            response_thread.join().unwrap().expect("an answer").status(),
+            200
+        );
     });
-    assert!(told[0] <= 8_000 && told[0] > 7_000, "{told:?}");
     assert!(
-        told[1] + u64::try_from(WORKED.as_millis()).unwrap() <= told[0],
-        "{told:?}"
+        forwarded_deadlines_ms[0] <= 8_000 && forwarded_deadlines_ms[0] > 7_000,
+        "{forwarded_deadlines_ms:?}"
+    );
+    assert!(
+        forwarded_deadlines_ms[1] + u64::try_from(PROCESSING_TIME.as_millis()).unwrap()
+            <= forwarded_deadlines_ms[0],
+        "{forwarded_deadlines_ms:?}"
     );
 }
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -1,5 +1,6 @@
-//! Answers that do not come to an end. The balancer owes one final answer in time; of one that it has begun to pass on,
-//! the end of the connection, so that its client can tell that it is not whole, but not while it still comes.
+//! Tests of responses that do not end in time. The balancer must send one final response before the
+//! deadline. If it has begun to forward a response that then stalls, it must close the connection, so that
+//! the client can detect the truncation; it must not truncate a response that still makes progress.
 
 mod common;
 
@@ -10,18 +11,19 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::*;
 
-/// More than is read whole before an answer is passed on.
-const LARGE: usize = 100 << 10;
-/// The time of the requests here, and by when they must have ended on any machine.
+/// Larger than the part of a response that the balancer buffers before it begins to forward.
+const CHUNK_BYTES: usize = 100 << 10;
+/// The budget of the requests, as header value and as duration.
 const BUDGET: (&str, Duration) = ("0.800", Duration::from_millis(800));
-const ENDED: Duration = Duration::from_secs(8);
+/// Upper limit for the duration of a request, with a margin for slow machines.
+const MAX_DURATION: Duration = Duration::from_secs(8);
 
-/// An upstream that writes `head` and then goes on with `more` for as long as the peer takes it; it tells when the peer
-/// has closed.
-fn endless(head: &'static str, more: String) -> (std::net::SocketAddr, Receiver<()>) {
+/// Starts an upstream that writes `head`, and then writes `more` repeatedly until the peer closes the
+/// connection. The receiver gets a message at each close.
+fn endless_upstream(head: &'static str, more: String) -> (std::net::SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, closed) = channel();
+    let (notify, closed) = channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut request = [0; 4096];
@@ -30,20 +32,20 @@
             while stream.write_all(more.as_bytes()).is_ok() {
                 std::thread::sleep(Duration::from_millis(10));
             }
-            tell.send(()).ok();
+            notify.send(()).ok();
         }
     });
     (address, closed)
 }
 
 fn chunk() -> String {
-    format!("{:x}\r\n{}\r\n", LARGE, "c".repeat(LARGE))
+    format!("{:x}\r\n{}\r\n", CHUNK_BYTES, "c".repeat(CHUNK_BYTES))
 }
 
-/// An answer that never ends, to a client that reads all of it: it is given up at the largest size of any answer.
+/// A client reads a response that never ends; the balancer must abort it at the maximum response size.
 #[test]
 fn a_response_without_end_is_aborted() {
-    let (address, closed) = endless(
+    let (address, closed) = endless_upstream(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
     );
@@ -51,17 +53,20 @@
         refused_address(),
         &[target("s-0", address, "in_service")],
     ));
-    let asked = Instant::now();
+    let started = Instant::now();
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
-    assert!(caller.read_chunked_body().is_none(), "it has no end");
-    assert!(asked.elapsed() < ENDED, "{:?}", asked.elapsed());
+    assert!(
+        caller.read_chunked_body().is_none(),
+        "the response is truncated"
+    );
+    assert!(started.elapsed() < MAX_DURATION, "{:?}", started.elapsed());
     closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("its upstream is told to stop");
+        .expect("the balancer closes the upstream connection");
 }
 
-/// An answer that stands still in its midst.
+/// The upstream stalls in the middle of a response.
 #[test]
 fn a_stalled_response_is_aborted_after_its_deadline() {
     let text = format!(
@@ -70,19 +75,22 @@
     );
     let upstream = Upstream::start(move |_| Reaction::Respond(text.clone()));
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
-    let asked = Instant::now();
+    let started = Instant::now();
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
-    assert!(caller.read_chunked_body().is_none(), "it has no end");
-    let took = asked.elapsed();
-    assert!(took >= BUDGET.1 && took < ENDED, "{took:?}");
+    assert!(
+        caller.read_chunked_body().is_none(),
+        "the response is truncated"
+    );
+    let took = started.elapsed();
+    assert!(took >= BUDGET.1 && took < MAX_DURATION, "{took:?}");
     upstream.wait_until_closed();
 }
 
-/// A client that reads nothing of a large answer: its upstream is not held beyond the deadline.
+/// A client does not read its large response; the balancer must release the upstream after the deadline.
 #[test]
 fn an_unread_response_is_abandoned_after_its_deadline() {
-    let (address, closed) = endless(
+    let (address, closed) = endless_upstream(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         chunk(),
     );
@@ -91,18 +99,18 @@
         &[target("s-0", address, "in_service")],
     ));
     let mut client = TcpStream::connect(program.address).unwrap();
-    let asked = Instant::now();
+    let started = Instant::now();
     client
         .write_all(request("post", BUDGET.0, "b").as_bytes())
         .unwrap();
     closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("its upstream is told to stop");
-    assert!(asked.elapsed() >= BUDGET.1);
+        .expect("the balancer closes the upstream connection");
+    assert!(started.elapsed() >= BUDGET.1);
 }
 
-/// A client of HTTP/1.0 knows the end of such an answer by the end of the connection: where it breaks off, the
-/// connection is reset.
+/// For an HTTP/1.0 client, the end of the connection marks the end of a response without a length. If the
+/// upstream truncates the response, the balancer must therefore reset the connection.
 #[test]
 fn a_broken_response_does_not_look_complete_to_an_http10_client() {
     let text = format!(
@@ -121,10 +129,13 @@
         )
         .unwrap();
     let read = client.read_to_end(&mut Vec::new());
-    assert!(read.is_err(), "it looks whole, with {read:?} bytes");
+    assert!(
+        read.is_err(),
+        "the truncated response looks complete, with {read:?} bytes"
+    );
 }
 
-/// A large answer that comes to its end in time leaves a connection that may rest for longer than that.
+/// After a large response that ended in time, the connection may stay idle for longer than the budget.
 #[test]
 fn a_connection_is_reused_after_a_large_response() {
     let text = format!(
@@ -136,15 +147,18 @@
     let mut caller = program.connect();
     for _ in 0..2 {
         caller.send("post", BUDGET.0, "b");
-        assert_eq!(caller.read_chunked_body().expect("an answer").len(), LARGE);
+        assert_eq!(
+            caller.read_chunked_body().expect("an answer").len(),
+            CHUNK_BYTES
+        );
         std::thread::sleep(BUDGET.1 * 2);
     }
 }
 
-/// A long answer that its upstream still gives when its time is over is passed on to its end: to cut it off would be the
-/// balancer's fault.
+/// The balancer must forward a long response completely if the upstream still sends it at the deadline;
+/// otherwise, the balancer would cause the truncation.
 #[test]
-fn a_response_that_still_comes_at_its_deadline_is_forwarded_to_its_end() {
+fn a_response_in_progress_at_its_deadline_is_forwarded_completely() {
     const CHUNKS: usize = 8;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -168,7 +182,10 @@
     let mut caller = program.connect();
     caller.send("post", BUDGET.0, "b");
     assert_eq!(
-        caller.read_chunked_body().expect("all of it").len(),
-        CHUNKS * LARGE
+        caller
+            .read_chunked_body()
+            .expect("the complete response")
+            .len(),
+        CHUNKS * CHUNK_BYTES
     );
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients that fill the descriptors. They owe the balancer nothing; it owes service to those that ask, and keeps
-//! what it needs for upstreams and discovery.
+//! Tests of idle clients that exhaust the file descriptors. The balancer must still serve the clients that
+//! send requests, and must reserve descriptors for upstreams and discovery.
 
 mod common;
 
@@ -7,70 +7,74 @@
 use std::time::Duration;
 use woadstall_mock_servers::http1::*;
 
-/// What the program may hold, as its configuration says and as the system allows.
+/// Limit of open descriptors, both in the configuration and in the system (`ulimit -n`).
 const DESCRIPTORS: u32 = 104;
-/// Idle clients, far more than may be held.
-const CROWD: usize = 300;
+/// Number of idle clients, far above `DESCRIPTORS`.
+const IDLE_CLIENTS: usize = 300;
 
-fn crowded(discovery: &Discovery, upstream: &Upstream) -> (Program, Vec<Caller>) {
+fn start_with_idle_clients(discovery: &Discovery, upstream: &Upstream) -> (Program, Vec<Caller>) {
     let mut config = config(discovery.address, &in_service(&[upstream]));
     config["limits"]["sockets"] = DESCRIPTORS.into();
     discovery.set(&in_service(&[upstream]));
     let program = Program::start_limited(&config, DESCRIPTORS);
     discovery.wait_until_watched();
-    let crowd = (0..CROWD).filter_map(|_| program.try_connect()).collect();
-    (program, crowd)
+    let idle_clients = (0..IDLE_CLIENTS)
+        .filter_map(|_| program.try_connect())
+        .collect();
+    (program, idle_clients)
 }
 
-/// A crowd that never asks: calls are served beside it, over new connections on both sides, and the list is followed.
+/// With many idle connections, the balancer must still serve calls over new client and upstream
+/// connections, and apply changes of the discovery list.
 #[test]
-fn a_crowd_of_idle_clients_blocks_neither_calls_nor_discovery() {
+fn many_idle_clients_block_neither_calls_nor_discovery() {
     let (first, second) = (
         Upstream::start(|_| Reaction::Respond(ok_response("first"))),
         Upstream::start(|_| Reaction::Respond(ok_response("second"))),
     );
     let discovery = Discovery::start();
-    let (program, crowd) = crowded(&discovery, &first);
+    let (program, idle_clients) = start_with_idle_clients(&discovery, &first);
     for _ in 0..20 {
         assert_eq!(program.call("look").status(), 200);
     }
     discovery.publish(&in_service(&[&first, &second])[1..]);
     assert_eq!(program.call("post").body, b"second");
-    drop(crowd);
+    drop(idle_clients);
     assert_eq!(program.call("post").body, b"second");
 }
 
-/// A client in the midst of a head is not sent away for another one that only connects.
+/// The balancer must not close the connection of a client that has sent part of a request head in favour
+/// of a client that has only connected.
 #[test]
 fn a_client_that_has_begun_a_request_is_not_disconnected() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     let mut config = config(refused_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = DESCRIPTORS.into(); // room for twenty callers
+    config["limits"]["sockets"] = DESCRIPTORS.into(); // room for twenty clients
     let program = Program::start_limited(&config, DESCRIPTORS);
     let whole = request("post", LONG_BUDGET, "b");
     let (begin, rest) = whole.split_at(whole.len() / 2);
     let mut writing = program.connect();
     writing.write(begin);
-    // It has been read once one that came after it is answered.
+    // The response to this later call shows that the balancer has read the partial head.
     assert_eq!(program.call("look").status(), 200);
-    let crowd: Vec<Caller> = (0..60).filter_map(|_| program.try_connect()).collect();
+    let idle_clients: Vec<Caller> = (0..60).filter_map(|_| program.try_connect()).collect();
     assert_eq!(program.call("look").status(), 200);
     writing.write(rest);
     assert_eq!(writing.read_response().expect("an answer").body, b"served");
-    drop(crowd);
+    drop(idle_clients);
 }
 
-/// A restart while the descriptors of the former process were filled: the next one is ready, and finds its list though
-/// the crowd is there from its first moment and discovery comes back late.
+/// A process starts while idle clients exhaust its descriptors from the first moment and discovery fails at
+/// first. The process must become ready, and apply the list once discovery recovers.
 #[test]
-fn a_process_that_starts_under_a_crowd_is_ready_and_follows_discovery() {
+fn a_process_that_starts_with_many_idle_clients_is_ready_and_follows_discovery() {
     let (stale, present) = (
         Upstream::start(|_| Reaction::Respond(ok_response("stale"))),
         Upstream::start(|_| Reaction::Respond(ok_response("present"))),
     );
     let discovery =
         Discovery::start_failing("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-    let (program, _crowd) = crowded(&discovery, &stale);
+    let (program, _idle_clients) = start_with_idle_clients(&discovery, &stale);
     let mut front = program.connect();
     front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
     assert_eq!(front.read_response().expect("an answer").status(), 200);
@@ -78,7 +82,8 @@
     assert_eq!(program.call("post").body, b"present");
 }
 
-/// Connections that are being closed while their clients still hold them give way to those that are taken.
+/// Connections that the balancer has closed but the clients keep open must not count against the
+/// descriptors for active connections.
 #[test]
 fn lingering_connections_take_no_descriptors_from_others() {
     const CALLERS: usize = 68;
@@ -87,21 +92,21 @@
         false => Reaction::Respond(ok_response("served")),
     });
     let mut config = config(refused_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 200.into(); // room for so many callers, and as many connections to upstreams
+    config["limits"]["sockets"] = 200.into(); // room for `CALLERS` clients and as many upstream connections
     let program = Program::start_limited(&config, 1024);
-    let at_fault = request("post", LONG_BUDGET, "").replace(
+    let invalid_request = request("post", LONG_BUDGET, "").replace(
         "Content-Length: 0",
         "Content-Length: 0\r\nTransfer-Encoding: chunked",
     );
     let ended: Vec<Caller> = (0..CALLERS)
         .map(|_| {
             let mut caller = program.connect();
-            caller.write(&at_fault);
+            caller.write(&invalid_request);
             assert_eq!(caller.read_response().expect("an answer").status(), 400);
             caller
         })
         .collect();
-    let held: Vec<Caller> = (0..CALLERS)
+    let pending: Vec<Caller> = (0..CALLERS)
         .map(|_| {
             let mut caller = program.connect();
             caller.send("post", LONG_BUDGET, "held");
@@ -114,21 +119,24 @@
         "{} descriptors",
         program.descriptors()
     );
-    drop((ended, held));
+    drop((ended, pending));
 }
 
-/// The system gives no descriptor to accept with: what is idle goes, and accepting goes on.
+/// If `accept` fails for lack of descriptors, the balancer must close idle connections and continue to
+/// accept.
 #[test]
 fn accepting_goes_on_after_the_descriptors_have_run_out() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
-    // The configuration promises more than the system has.
+    // The configured limit is above the limit of the system.
     let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 1024.into();
     let mut program = Program::start_limited(&config, 64);
-    let crowd: Vec<Caller> = (0..CROWD).filter_map(|_| program.try_connect()).collect();
-    program.logged("accept_failed error=");
-    drop(crowd);
-    until("it serves again", || {
+    let idle_clients: Vec<Caller> = (0..IDLE_CLIENTS)
+        .filter_map(|_| program.try_connect())
+        .collect();
+    program.wait_for_log("accept_failed error=");
+    drop(idle_clients);
+    wait_until("the balancer serves again", || {
         let caller = program.try_connect();
         let served = caller
             .and_then(|mut caller| caller.call("look", LONG_BUDGET, ""))
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -1,5 +1,5 @@
-//! Discovery that fails in all its ways. It owes nothing while it cannot be reached; the balancer owes to act on what
-//! discovery had and could tell within six seconds.
+//! Tests of discovery failures. The balancer must apply a change of the discovery list within six seconds
+//! of the time at which the discovery service can deliver it.
 
 mod common;
 
@@ -11,11 +11,13 @@
 use woadstall_mock_servers::http1::*;
 use woadstall_mock_servers::stalled_listener::StalledListener;
 
-/// How long a change of the list may take to reach the balancer.
+/// Time limit for a change of the list to reach the balancer.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Discovery that answers its calls by number with what is written here; each call is seen.
-fn scripted(answer: impl Fn(usize, &Message) -> Reaction + Send + Sync + 'static) -> Upstream {
+/// Starts a discovery service whose response depends on the number of the call; it records each call.
+fn scripted_discovery(
+    answer: impl Fn(usize, &Message) -> Reaction + Send + Sync + 'static,
+) -> Upstream {
     let calls = AtomicUsize::new(0);
     Upstream::start(move |message| answer(calls.fetch_add(1, Ordering::SeqCst), message))
 }
@@ -33,13 +35,13 @@
     config
 }
 
-/// Two upstreams: the balancer starts with the one, and the list of discovery names the other alone.
-struct Two {
+/// Two upstreams: the balancer starts with `former`, and the list of discovery contains only `new`.
+struct UpstreamPair {
     former: Upstream,
     new: Upstream,
 }
 
-impl Two {
+impl UpstreamPair {
     fn start() -> Self {
         let answering =
             |text: &'static str| Upstream::start(move |_| Reaction::Respond(ok_response(text)));
@@ -60,9 +62,9 @@
         )
     }
 
-    /// Waits until the list is acted on, and checks that nothing goes back to the old one.
-    fn taken(&self, program: &Program) {
-        until("the list is acted on", || {
+    /// Waits until the balancer applies the list, and asserts that the former upstream gets no more calls.
+    fn assert_list_applied(&self, program: &Program) {
+        wait_until("the balancer applies the list", || {
             program.call("look").body == b"new"
         });
         for _ in 0..4 {
@@ -71,43 +73,43 @@
     }
 }
 
-/// A watch that falls silent, and the one that is opened anew as well.
+/// The first watch gets no response, and neither does the watch that replaces it.
 #[test]
 fn two_unresponsive_polls_in_a_row_are_given_up_in_time() {
-    let two = Two::start();
-    let list = two.list(5);
-    let discovery = scripted(move |call, _| match call {
+    let pair = UpstreamPair::start();
+    let list = pair.list(5);
+    let discovery = scripted_discovery(move |call, _| match call {
         0 | 1 => Reaction::Stall,
         2 => Reaction::Respond(ok_response(&list)),
         _ => Reaction::Stall,
     });
-    let program = Program::start(&two.config(discovery.address));
+    let program = Program::start(&pair.config(discovery.address));
     discovery.request();
-    let silent = Instant::now();
+    let stalled_since = Instant::now();
     discovery.request();
     discovery.request();
     assert!(
-        silent.elapsed() < NOTIFICATION_TIMEOUT,
+        stalled_since.elapsed() < NOTIFICATION_TIMEOUT,
         "the third call comes after {:?}",
-        silent.elapsed()
+        stalled_since.elapsed()
     );
-    two.taken(&program);
+    pair.assert_list_applied(&program);
 }
 
-/// Where discovery is asked, a watch may wait, and a change counts as told 2 s after that wait: a silent one is opened anew
-/// at once, with no wait for a turn before it.
+/// In polling mode, a watch counts as failed 2 s after its requested wait. The balancer must then repeat
+/// the watch at once, without waiting for the next polling interval.
 #[test]
 fn an_unresponsive_poll_of_a_shared_service_is_repeated_in_time() {
-    let two = Two::start();
-    let list = two.list(5);
-    let discovery = scripted(move |call, _| match call {
+    let pair = UpstreamPair::start();
+    let list = pair.list(5);
+    let discovery = scripted_discovery(move |call, _| match call {
         0 => Reaction::Stall,
         1 => Reaction::Respond(ok_response(&list)),
         _ => Reaction::Stall,
     });
-    let program = Program::start(&with_polling(two.config(discovery.address)));
+    let program = Program::start(&with_polling(pair.config(discovery.address)));
     let watch = discovery.request();
-    let silent = Instant::now();
+    let stalled_since = Instant::now();
     let wait: f64 = watch
         .start_line
         .split("wait_ms=")
@@ -119,19 +121,19 @@
         .parse()
         .unwrap();
     discovery.request();
-    let late = silent.elapsed().as_secs_f64() - wait / 1e3;
+    let late = stalled_since.elapsed().as_secs_f64() - wait / 1e3;
     assert!(
         (0.0..1.5).contains(&late),
         "opened anew {late:.2} s after its wait"
     );
-    two.taken(&program);
+    pair.assert_list_applied(&program);
 }
 
-/// Balancers that start together do not come together again and again: each watch has its own wait.
+/// Balancers that start at the same time must not poll in lockstep, so each watch has a random wait.
 #[test]
 fn polls_of_a_shared_service_are_spread() {
     let unchanged = r#"{"rev":1,"all":false,"targets":[]}"#;
-    let discovery = scripted(move |_, _| Reaction::Respond(ok_response(unchanged)));
+    let discovery = scripted_discovery(move |_, _| Reaction::Respond(ok_response(unchanged)));
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let _program = Program::start(&with_polling(config(
         discovery.address,
@@ -142,15 +144,15 @@
     assert!(waits.len() > 4, "{waits:?}");
 }
 
-/// Where discovery is asked: a dial that never comes up is given up, not waited for as long as a watch.
+/// In polling mode, the timeout of a connection attempt must be shorter than that of a watch.
 #[test]
 fn a_connection_that_is_never_established_is_given_up_in_time() {
-    let two = Two::start();
+    let pair = UpstreamPair::start();
     let late = StalledListener::start();
-    let mut program = Program::start(&with_polling(two.config(late.address())));
+    let mut program = Program::start(&with_polling(pair.config(late.address())));
     late.wait_until_connecting();
     let dialled = Instant::now();
-    program.logged("discovery_failed error=");
+    program.wait_for_log("discovery_failed error=");
     assert!(
         dialled.elapsed() < NOTIFICATION_TIMEOUT,
         "{:?}",
@@ -158,11 +160,12 @@
     );
 }
 
-/// The forms that the protocol allows, and a connection that ends after the answer.
+/// The balancer must accept indented JSON, chunked bodies, bodies that end with the connection, and
+/// responses that arrive in two parts.
 #[test]
 fn lists_may_come_in_any_form() {
-    let two = Two::start();
-    let list = two.list(5);
+    let pair = UpstreamPair::start();
+    let list = pair.list(5);
     let indented =
         serde_json::to_string_pretty(&serde_json::from_str::<Value>(&list).unwrap()).unwrap();
     let chunks: String = list
@@ -183,22 +186,23 @@
         ),
     ];
     for form in forms {
-        let discovery = scripted(move |call, _| {
+        let discovery = scripted_discovery(move |call, _| {
             if call == 0 {
                 form.clone()
             } else {
                 Reaction::Stall
             }
         });
-        two.taken(&Program::start(&two.config(discovery.address)));
+        pair.assert_list_applied(&Program::start(&pair.config(discovery.address)));
     }
 }
 
-/// What breaks a call: none of it keeps the next one waiting, and none of it changes the list.
+/// After a closed connection, an error status, a truncated body or an invalid document, the balancer must
+/// keep its list and repeat the call in time.
 #[test]
 fn failed_calls_are_made_again() {
-    let two = Two::start();
-    let list = two.list(5);
+    let pair = UpstreamPair::start();
+    let list = pair.list(5);
     let half = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
         list.len(),
@@ -211,45 +215,51 @@
         Reaction::Respond(ok_response("{\"rev\":")),
         Reaction::Respond(ok_response("[]")),
     ];
-    for asking in [false, true] {
+    for uses_polling in [false, true] {
         for failure in failures.clone() {
             let list = list.clone();
-            let discovery = scripted(move |call, _| match call {
+            let discovery = scripted_discovery(move |call, _| match call {
                 0 => failure.clone(),
                 1 => Reaction::Respond(ok_response(&list)),
                 _ => Reaction::Stall,
             });
-            let config = two.config(discovery.address);
-            let program = Program::start(&if asking { with_polling(config) } else { config });
+            let config = pair.config(discovery.address);
+            let program = Program::start(&if uses_polling {
+                with_polling(config)
+            } else {
+                config
+            });
             discovery.request();
             let failed = Instant::now();
             assert_eq!(program.call("look").body, b"old", "the list stays");
             discovery.request();
             assert!(failed.elapsed() < NOTIFICATION_TIMEOUT);
-            two.taken(&program);
+            pair.assert_list_applied(&program);
         }
     }
 }
 
-/// A whole list that is answered to a watch removes what it does not name, whatever its version.
+/// A complete list in response to a watch replaces the current list, whatever its version.
 #[test]
 fn a_complete_list_removes_what_it_does_not_name() {
     for rev in [0, 1, 9] {
-        let two = Two::start();
-        let list = two.list(rev);
-        let discovery = scripted(move |call, _| match call {
+        let pair = UpstreamPair::start();
+        let list = pair.list(rev);
+        let discovery = scripted_discovery(move |call, _| match call {
             0 => Reaction::Respond(ok_response(&list)),
             _ => Reaction::Stall,
         });
-        two.taken(&Program::start(&two.config(discovery.address)));
+        pair.assert_list_applied(&Program::start(&pair.config(discovery.address)));
     }
 }
 
-/// Versions that go back again and again, with never a whole list: nonsense is not asked for in a loop.
+/// Discovery repeatedly answers with an older version and never with a complete list. The balancer must
+/// not poll in a tight loop.
 #[test]
-fn nonsense_is_not_polled_in_a_loop() {
-    let discovery =
-        scripted(|_, _| Reaction::Respond(ok_response(r#"{"rev":0,"all":false,"targets":[]}"#)));
+fn invalid_versions_are_not_polled_in_a_loop() {
+    let discovery = scripted_discovery(|_, _| {
+        Reaction::Respond(ok_response(r#"{"rev":0,"all":false,"targets":[]}"#))
+    });
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let config = config(discovery.address, &in_service(&[&upstream]));
     let _program = Program::start(&config);
@@ -263,32 +273,33 @@
     assert!(calls < 60, "{calls} calls in a second");
 }
 
-/// After a SIGHUP, what the former address still answers is dropped, and a lower version at the new one is no error.
+/// After a SIGHUP changes the discovery address, the balancer must ignore responses from the former address,
+/// and accept a lower version from the new address.
 #[test]
 fn a_late_response_of_the_former_address_is_dropped() {
-    let two = Two::start();
+    let pair = UpstreamPair::start();
     let answering = Arc::new(Barrier::new(2));
-    let (hold, former_list) = (
+    let (response_barrier, former_list) = (
         answering.clone(),
-        complete_list(90, &[target("s-old", two.former.address, "in_service")]),
+        complete_list(90, &[target("s-old", pair.former.address, "in_service")]),
     );
-    let former = scripted(move |call, _| match call {
+    let former = scripted_discovery(move |call, _| match call {
         0 => Reaction::Respond(ok_response(&former_list)),
         1 => {
-            hold.wait();
+            response_barrier.wait();
             Reaction::Respond(ok_response(&complete_list(91, &[])))
         }
         _ => Reaction::Stall,
     });
-    let list = two.list(2);
-    let next = scripted(move |call, _| {
+    let list = pair.list(2);
+    let next = scripted_discovery(move |call, _| {
         if call == 0 {
             Reaction::Respond(ok_response(&list))
         } else {
             Reaction::Stall
         }
     });
-    let before = two.config(former.address);
+    let before = pair.config(former.address);
     let program = Program::start(&before);
     former.request();
     former.request();
@@ -300,23 +311,24 @@
         next.request()
             .start_line
             .starts_with("GET /v1/servers HTTP"),
-        "the whole list, at once"
+        "the balancer requests the complete list at once"
     );
     assert!(signal.elapsed() < Duration::from_secs(4));
-    two.taken(&program);
+    pair.assert_list_applied(&program);
     answering.wait();
     former.wait_until_closed();
-    two.taken(&program);
+    pair.assert_list_applied(&program);
 }
 
-/// A start with a list whose upstreams are all gone, while discovery is down: ready at once, and served when it is back.
+/// The balancer starts with a list of unreachable upstreams while discovery is down. It must be ready at
+/// once, and serve calls when discovery recovers.
 #[test]
 fn ready_at_once_with_a_stale_list_and_discovery_down() {
-    let two = Two::start();
+    let pair = UpstreamPair::start();
     let list = Mutex::new(None::<String>);
     let list = Arc::new(list);
-    let told = list.clone();
-    let discovery = Upstream::start(move |_| match told.lock().unwrap().clone() {
+    let current_list = list.clone();
+    let discovery = Upstream::start(move |_| match current_list.lock().unwrap().clone() {
         Some(list) => Reaction::Respond(ok_response(&list)),
         None => Reaction::RespondAndClose(String::new()),
     });
@@ -332,54 +344,55 @@
     assert_eq!(
         program.call("post").status(),
         503,
-        "it never ran, and trying again is harmless"
+        "the call was not executed, so that a retry is safe"
     );
-    *list.lock().unwrap() = Some(two.list(9));
-    two.taken(&program);
+    *list.lock().unwrap() = Some(pair.list(9));
+    pair.assert_list_applied(&program);
 }
 
-/// Discovery that refuses each call from the start on: the balancer serves with the list that it was started with, says so
-/// again and again, and has figures for it.
+/// Discovery refuses each call from the start on. The balancer must serve with its initial list, log the
+/// failure repeatedly and count it in the metrics.
 #[test]
 fn discovery_that_fails_from_the_start_is_reported_again_and_counted() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
     let (mut program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
-    program.logged("discovery_failed error=");
-    program.logged("discovery_failing seconds=1 failures=");
-    let second = program.logged("discovery_failing seconds=");
+    program.wait_for_log("discovery_failed error=");
+    program.wait_for_log("discovery_failing seconds=1 failures=");
+    let second = program.wait_for_log("discovery_failing seconds=");
     assert!(second.contains("seconds=3 "), "{second}");
     assert_eq!(program.call("look").body, b"served");
-    let figures = admin.figures();
+    let metrics = admin.metrics();
     assert!(
-        figures["balancer_discovery_failures"] >= 10.0,
-        "{figures:?}"
+        metrics["balancer_discovery_failures"] >= 10.0,
+        "{metrics:?}"
     );
-    assert!(figures["balancer_list_age_seconds"] >= 3.0, "{figures:?}");
+    assert!(metrics["balancer_list_age_seconds"] >= 3.0, "{metrics:?}");
 }
 
-/// Discovery that takes calls and never answers them, from the start on, and answers at last: what it has is used at once.
+/// Discovery accepts calls without a response at first and responds later. The balancer must log the
+/// failure, and apply the list with the first response.
 #[test]
-fn discovery_that_answers_at_last_is_used() {
-    let two = Two::start();
-    let list = two.list(5);
+fn discovery_that_answers_late_is_used() {
+    let pair = UpstreamPair::start();
+    let list = pair.list(5);
     let answers = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let answering = answers.clone();
-    let discovery = scripted(move |_, _| match answering.load(Ordering::SeqCst) {
+    let discovery = scripted_discovery(move |_, _| match answering.load(Ordering::SeqCst) {
         true => Reaction::Respond(ok_response(&list)),
         false => Reaction::Stall,
     });
-    let (mut program, admin) = Program::start_with_admin(&two.config(discovery.address));
-    program.logged("discovery_failed error=\"no answer in time\"");
-    let reminder = program.logged("discovery_failing seconds=");
+    let (mut program, admin) = Program::start_with_admin(&pair.config(discovery.address));
+    program.wait_for_log("discovery_failed error=\"no answer in time\"");
+    let reminder = program.wait_for_log("discovery_failing seconds=");
     assert!(
         reminder.contains("failures=2 error=\"no answer in time\""),
         "{reminder}"
     );
-    assert!(admin.figures()["balancer_list_age_seconds"] >= 3.0);
+    assert!(admin.metrics()["balancer_list_age_seconds"] >= 3.0);
     assert_eq!(program.call("look").body, b"old");
     answers.store(true, Ordering::SeqCst);
-    program.logged("discovery_recovered failures=");
-    two.taken(&program);
-    assert!(admin.figures()["balancer_list_age_seconds"] < 2.0);
+    program.wait_for_log("discovery_recovered failures=");
+    pair.assert_list_applied(&program);
+    assert!(admin.metrics()["balancer_list_age_seconds"] < 2.0);
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -1,4 +1,5 @@
-//! Operators' words on places, as the daemon takes them: told at one, carried out by all, ended by themselves.
+//! Tests of operator orders to evacuate failure domains: an order at one balancer applies to all balancers,
+//! and expires by itself.
 
 mod common;
 
@@ -10,7 +11,7 @@
     Reaction, Upstream, config, ok_response, refused_address, target,
 };
 
-fn folder(name: &str) -> PathBuf {
+fn directory(name: &str) -> PathBuf {
     let path =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
@@ -18,7 +19,7 @@
     path
 }
 
-/// Two zones with an upstream each, which says where it is.
+/// Starts one upstream in each of two zones; each upstream responds with the name of its zone.
 fn upstreams() -> (Vec<Upstream>, serde_json::Value) {
     let zones: [&'static str; 2] = ["a", "b"];
     let all: Vec<Upstream> = zones
@@ -39,7 +40,7 @@
 }
 
 fn start(
-    folder: &Path,
+    directory: &Path,
     name: &str,
     seeds: &str,
     config: &serde_json::Value,
@@ -53,7 +54,7 @@
         "[instances]\nlisten = \"{free}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n\
          [evacuation]\n[evacuation.regions]\na = \"west\"\nb = \"east\"\n"
     );
-    let file = folder.join(format!("{name}.toml"));
+    let file = directory.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
     let environment = [
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
@@ -63,19 +64,22 @@
     (program, admin, free)
 }
 
-fn run_domain_command(admin: &Operators, words: &[&str]) -> (bool, String) {
+fn run_domain_command(admin: &Operators, arguments: &[&str]) -> (bool, String) {
     let at = admin.address.to_string();
     let output = Command::new(common::program::program_path())
-        .args(words)
+        .args(arguments)
         .args(["--admin", &at])
         .output()
         .unwrap();
-    let said = if output.status.success() {
+    let output_bytes = if output.status.success() {
         output.stdout
     } else {
         output.stderr
     };
-    (output.status.success(), String::from_utf8(said).unwrap())
+    (
+        output.status.success(),
+        String::from_utf8(output_bytes).unwrap(),
+    )
 }
 
 fn zone_of(program: &Program) -> String {
@@ -84,16 +88,16 @@
 
 #[test]
 fn an_order_at_one_balancer_is_followed_by_all() {
-    let folder = folder("words");
+    let directory = directory("words");
     let (_upstreams, config) = upstreams();
-    let (one, admin, at) = start(&folder, "balancer-one", "", &config);
-    let (mut two, other, _) = start(&folder, "balancer-two", &format!("{at:?}"), &config);
-    until("they find each other", || {
+    let (first, admin, at) = start(&directory, "balancer-one", "", &config);
+    let (mut second, other, _) = start(&directory, "balancer-two", &format!("{at:?}"), &config);
+    wait_until("the balancers discover each other", || {
         [&admin, &other]
             .iter()
-            .all(|admin| admin.figures()[r#"balancer_members{state="alive"}"#] == 1.0)
+            .all(|admin| admin.metrics()[r#"balancer_members{state="alive"}"#] == 1.0)
     });
-    assert!((0..10).all(|_| zone_of(&one) == "a" && zone_of(&two) == "a"));
+    assert!((0..10).all(|_| zone_of(&first) == "a" && zone_of(&second) == "a"));
     let (_, text) = run_domain_command(&other, &["zone", "status"]);
     assert!(
         text.contains("zone a: in use, epoch 0, share 100%, 1 nodos in service"),
@@ -104,65 +108,74 @@
         run_domain_command(&admin, &["zone", "leave", "a", "--for", "5m"]),
         (true, String::new())
     );
-    until("all are out", || {
-        zone_of(&one) == "b" && zone_of(&two) == "b"
+    wait_until("both balancers leave zone a", || {
+        zone_of(&first) == "b" && zone_of(&second) == "b"
     });
-    assert!((0..20).all(|_| zone_of(&two) == "b"));
-    two.logged("places: zone a: an operator's word, leave, for ");
+    assert!((0..20).all(|_| zone_of(&second) == "b"));
+    second.wait_for_log("places: zone a: an operator's word, leave, for ");
     let (_, text) = run_domain_command(&other, &["zone", "status", "a"]);
     assert!(
         text.contains("share 0%") && text.contains("an operator's word: leave, for "),
         "{text}"
     );
     assert_eq!(
-        other.figures()[r#"balancer_place_share{place="zone a"}"#],
+        other.metrics()[r#"balancer_place_share{place="zone a"}"#],
         0.0
     );
 
-    // Another operator, elsewhere, later: the last word holds. Never all places: where both are left, none is.
+    // The latest order wins, whichever balancer receives it. An evacuation of both regions is ignored, so
+    // that some domain always stays in use.
     assert!(run_domain_command(&other, &["zone", "hold", "a", "--for", "1m"]).0);
-    until("the last word holds", || {
-        zone_of(&one) == "a" && zone_of(&two) == "a"
+    wait_until("the latest order applies", || {
+        zone_of(&first) == "a" && zone_of(&second) == "a"
     });
     assert!(run_domain_command(&other, &["region", "leave", "west", "--for", "1m"]).0);
-    until("a region is its zones", || zone_of(&one) == "b");
+    wait_until("an order for a region applies to its zones", || {
+        zone_of(&first) == "b"
+    });
     assert!(run_domain_command(&other, &["region", "leave", "east", "--for", "1m"]).0);
-    until("all is left, so nothing is", || zone_of(&one) == "a");
+    wait_until("an evacuation of all regions is ignored", || {
+        zone_of(&first) == "a"
+    });
     assert!(
         run_domain_command(&other, &["region", "return", "east"]).0
             && run_domain_command(&admin, &["region", "return", "west"]).0
     );
-    // A word that is over is over.
+    // An order ends when its time expires.
     assert!(run_domain_command(&admin, &["zone", "leave", "a", "--for", "1s"]).0);
-    until("it is left", || zone_of(&two) == "b");
-    until("it ends by itself", || {
-        zone_of(&two) == "a" && zone_of(&one) == "a"
+    wait_until("zone a is left", || zone_of(&second) == "b");
+    wait_until("the order expires", || {
+        zone_of(&second) == "a" && zone_of(&first) == "a"
     });
 
-    let (sound, text) = run_domain_command(&admin, &["zone", "leave", "c"]);
-    assert!(!sound && text.contains("no zone c"), "{text}");
-    let (sound, text) = run_domain_command(&admin, &["nodo", "leave", "a/b"]);
-    assert!(!sound && text.contains("is no name of a nodo"), "{text}");
-    let (sound, text) = run_domain_command(&admin, &["zone", "leave", "a", "--for", "soon"]);
-    assert!(!sound && text.contains("--for"), "{text}");
+    let (is_accepted, text) = run_domain_command(&admin, &["zone", "leave", "c"]);
+    assert!(!is_accepted && text.contains("no zone c"), "{text}");
+    let (is_accepted, text) = run_domain_command(&admin, &["nodo", "leave", "a/b"]);
+    assert!(
+        !is_accepted && text.contains("is no name of a nodo"),
+        "{text}"
+    );
+    let (is_accepted, text) = run_domain_command(&admin, &["zone", "leave", "a", "--for", "soon"]);
+    assert!(!is_accepted && text.contains("--for"), "{text}");
     assert_eq!(admin.post("/control/places/leave/zone/a").status(), 400);
     assert_eq!(admin.post("/control/places/burn/zone/a/10").status(), 400);
     assert_eq!(admin.get("/control/places/leave/zone/a/10").status(), 404);
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
 }
 
-/// Without the section there is no such call, no figure, and the command says why; without members it is refused.
+/// Without the section `[evacuation]`, the operator API has no such calls and metrics, and the commands fail
+/// with the reason.
 #[test]
-fn absent_there_is_nothing_of_it() {
+fn without_the_section_there_are_no_calls_and_no_metrics() {
     let (_upstreams, config) = upstreams();
     let (_program, admin) = Program::start_with_admin(&config);
     assert_eq!(admin.get("/control/places").status(), 404);
-    assert!(!admin.figures().keys().any(|name| name.contains("place")));
-    let (sound, text) = run_domain_command(&admin, &["zone", "status"]);
+    assert!(!admin.metrics().keys().any(|name| name.contains("place")));
+    let (is_accepted, text) = run_domain_command(&admin, &["zone", "status"]);
     assert!(
-        !sound && text.contains("no `[evacuation]` in its operators' file"),
+        !is_accepted && text.contains("no `[evacuation]` in its operators' file"),
         "{text}"
     );
-    let (sound, _) = run_domain_command(&admin, &["zone", "leave", "a"]);
-    assert!(!sound);
+    let (is_accepted, _) = run_domain_command(&admin, &["zone", "leave", "a"]);
+    assert!(!is_accepted);
 }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -1,4 +1,5 @@
-//! The command line, pinned: the help of every command, and the findings of `woadstall check`.
+//! Golden tests of the command line: the help of each command, the errors, the findings of
+//! `woadstall check`, and the reports as text.
 
 #[path = "common/program.rs"]
 mod program;
@@ -10,14 +11,14 @@
 use woadstall::net::{domain_status, membership_report};
 use woadstall_mock_servers::http1::{config, refused_address};
 
-/// Compares with the fixture of this name.
+/// Asserts that `text` equals the golden file `name`.
 fn assert_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     assert_eq!(text, expected, "{name}");
 }
 
-/// What the program writes, standard output first, and its exit code.
+/// Runs the program; returns its standard output, its standard error and its exit code.
 fn output(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(program_path());
     for variable in [
@@ -104,8 +105,8 @@
     assert_golden("command-errors.txt", &text);
 }
 
-/// The value at a path of keys and positions.
-fn at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
+/// Returns the JSON value at a path of keys and array indices.
+fn value_at<'a>(value: &'a mut Value, path: &[&str]) -> &'a mut Value {
     path.iter()
         .fold(value, |value, key| match key.parse::<usize>() {
             Ok(position) => &mut value[position],
@@ -151,13 +152,13 @@
     ];
     for (number, (path, value)) in changed.into_iter().enumerate() {
         let mut file = sound.clone();
-        *at(&mut file, path) = value;
+        *value_at(&mut file, path) = value;
         files.push((
             format!("{number:02}-{}.json", path.join("-")),
             file.to_string(),
         ));
     }
-    assert_golden("check-json.txt", &checked(&folder, &files));
+    assert_golden("check-json.txt", &check_output(&folder, &files));
 }
 
 #[test]
@@ -183,11 +184,14 @@
     ];
     let files = files.map(|(name, text)| (name.to_owned(), text));
     let missing = output(&folder, &["check", "missing.toml"]);
-    assert_golden("check-toml.txt", &(checked(&folder, &files) + &missing));
+    assert_golden(
+        "check-toml.txt",
+        &(check_output(&folder, &files) + &missing),
+    );
 }
 
-/// What a check of all of these files says.
-fn checked(folder: &Path, files: &[(String, String)]) -> String {
+/// Writes the files, runs `woadstall check` on all of them, and returns its output.
+fn check_output(folder: &Path, files: &[(String, String)]) -> String {
     let mut arguments = vec!["check"];
     for (name, text) in files {
         std::fs::write(folder.join(name), text).unwrap();
--- a/tests/golden_daemon.rs
+++ b/tests/golden_daemon.rs
@@ -1,5 +1,5 @@
-//! What the daemon says on its sockets, pinned to the byte: answers to callers and to operators, and what upstreams
-//! get to read.
+//! Golden tests of the daemon's sockets, byte for byte: responses to clients and operators, and requests as
+//! upstreams receive them.
 
 mod common;
 
@@ -13,14 +13,14 @@
     refused_address, target,
 };
 
-/// Compares with the fixture of this name.
+/// Asserts that `text` equals the golden file `name`.
 fn assert_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     assert_eq!(text, expected, "{name}");
 }
 
-/// All that comes back, the date left out.
+/// Sends a request and returns all bytes up to the end of the connection, without the date header.
 fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
@@ -33,7 +33,7 @@
         .replace('\r', "")
 }
 
-/// Each run of digits as one `#`: what depends on ports and clocks.
+/// Replaces each run of digits by one `#`, since ports and times differ between runs.
 fn without_digits(text: &str) -> String {
     let mut masked = String::new();
     for letter in text.chars() {
@@ -46,8 +46,9 @@
     masked
 }
 
-/// Answers that begin with the figures, with `#` in place of those that hang on time, and of their own length.
-fn without_varying_values(figures: &str) -> String {
+/// Masks the digits of the metrics that depend on time, and of the first content length, which depends on
+/// their digits.
+fn without_varying_values(metrics: &str) -> String {
     let varies = [
         "balancer_discovery_failures ",
         "balancer_list_age_seconds ",
@@ -64,10 +65,10 @@
         true => without_digits(line),
         false => line.to_owned(),
     };
-    figures.split_inclusive('\n').map(mask).collect()
+    metrics.split_inclusive('\n').map(mask).collect()
 }
 
-/// A caller's request that ends its connection.
+/// A client request with `Connection: close`.
 fn closing(class: &str, body: &str) -> String {
     named_request("9b1f03aa00000001", class, LONG_BUDGET, body)
         .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
@@ -113,9 +114,9 @@
         ),
     ];
     let mut text = String::new();
-    for (what, request) in cases {
-        assert!(what == "it is served" || request != pay, "{what}");
-        text += &format!("== {what}\n{}\n", exchange(program.address, &request));
+    for (case, request) in cases {
+        assert!(case == "it is served" || request != pay, "{case}");
+        text += &format!("== {case}\n{}\n", exchange(program.address, &request));
     }
     assert_golden("answers.txt", &text);
 }
@@ -137,7 +138,7 @@
     let refused: String = refused
         .split_inclusive('\n')
         .map(|line| match line.starts_with("retry-after: ") {
-            true => without_digits(line), // drawn, and by the time that has passed
+            true => without_digits(line), // random, and dependent on the elapsed time
             false => line.to_owned(),
         })
         .collect();
@@ -178,8 +179,8 @@
     assert_golden("forwarded.txt", &text);
 }
 
-/// Every call of operators, by every method that one might take.
-fn calls(admin: &Operators, paths: &[&str]) -> String {
+/// Calls each path of the operator API with each method, and returns all responses.
+fn operator_calls(admin: &Operators, paths: &[&str]) -> String {
     let mut text = String::new();
     for path in paths {
         for method in ["GET", "POST", "DELETE"] {
@@ -194,7 +195,7 @@
     text
 }
 
-/// Waits until the process has assessed a domain: before that its answer gives another reason.
+/// Waits until the daemon has assessed a failure domain; before that, its status has another reason.
 fn await_first_assessment(admin: SocketAddr, domain: &str) {
     let begin = Instant::now();
     let named = format!("\"name\":\"{domain}\"");
@@ -228,11 +229,11 @@
         "/control/none",
         "/",
     ];
-    assert_golden("operators.txt", &calls(&admin, &paths));
+    assert_golden("operators.txt", &operator_calls(&admin, &paths));
 }
 
 #[test]
-fn the_counters() {
+fn counters_of_a_daemon() {
     let upstream = Upstream::start(|message| match message.start_line.contains("post") {
         true => Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into()),
         false => Reaction::Respond(ok_response("done")),
@@ -245,23 +246,23 @@
             &closing(class, if class == "look" { "" } else { "body" }),
         );
     }
-    until("all have ended", || {
-        admin.figures()["balancer_active"] == 0.0
+    wait_until("all requests have ended", || {
+        admin.metrics()["balancer_active"] == 0.0
     });
-    let counters = calls(&admin, &["/control/counters"]);
+    let counters = operator_calls(&admin, &["/control/counters"]);
     assert_golden("counters.txt", &without_varying_values(&counters));
 }
 
 #[test]
 fn operators_of_a_fleet() {
-    let folder =
+    let directory =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-fleet-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+    std::fs::create_dir_all(&directory).unwrap();
     let free = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let file = folder.join("operator.toml");
+    let file = directory.join("operator.toml");
     let text = format!(
         "[instances]\nlisten = \"{free}\"\ninsecure = true\n\
          [evacuation]\n[evacuation.regions]\na = \"west\"\n"
@@ -287,8 +288,8 @@
         "/control/places/hold/zone/a/10",
         "/control/places/return/region/west/10",
     ];
-    // It may just have stood still, where the machine is busy.
-    let answers = calls(&admin, &paths).replace("\"cut_off\":true", "\"cut_off\":false");
+    // On a busy machine, the process may have stalled, so that it reports itself as cut off.
+    let answers = operator_calls(&admin, &paths).replace("\"cut_off\":true", "\"cut_off\":false");
     assert_golden("fleet-operators.txt", &without_digits(&answers));
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership among balancers, as the daemon has it: switched on by the operators' file alone.
+//! Tests of the membership of balancers in the daemon; only the operator file enables it.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::process::Command;
 use woadstall_mock_servers::http1::{config, refused_address};
 
-fn folder() -> PathBuf {
+fn directory() -> PathBuf {
     let path =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("members-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
@@ -16,15 +16,16 @@
     path
 }
 
-/// A balancer with an operators' file; where others find it.
-fn start(folder: &Path, name: &str, seeds: &str) -> (Program, Operators, String) {
+/// Starts a balancer with an operator file; returns the program, its admin address and its membership
+/// address.
+fn start(directory: &Path, name: &str, seeds: &str) -> (Program, Operators, String) {
     let free = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .to_string();
     let text = format!("[instances]\nlisten = \"{free}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n");
-    let file = folder.join(format!("{name}.toml"));
+    let file = directory.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
     let environment = [
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
@@ -34,32 +35,33 @@
     (program, admin, free)
 }
 
-fn show_members(admin: &Operators, more: &[&str]) -> (bool, String) {
+fn show_members(admin: &Operators, extra: &[&str]) -> (bool, String) {
     let at = admin.address.to_string();
     let mut command = Command::new(common::program::program_path());
     let output = command
         .args(["instances", "--admin", &at])
-        .args(more)
+        .args(extra)
         .output()
         .unwrap();
-    let said = if output.status.success() {
+    let text = if output.status.success() {
         output.stdout
     } else {
         output.stderr
     };
-    (output.status.success(), String::from_utf8(said).unwrap())
+    (output.status.success(), String::from_utf8(text).unwrap())
 }
 
-/// Two find each other; operators see it by command, figures and a line; the one that is told to stop leaves.
+/// Two balancers discover each other; the command, the metrics and the log show the members. A balancer
+/// that gets SIGTERM leaves the group.
 #[test]
 fn operators_see_the_members() {
-    let folder = folder();
-    let (mut one, admin, at) = start(&folder, "balancer-one", "");
-    let (two, other, _) = start(&folder, "balancer-two", &format!("{at:?}"));
-    until("they find each other", || {
+    let directory = directory();
+    let (mut one, admin, at) = start(&directory, "balancer-one", "");
+    let (two, other, _) = start(&directory, "balancer-two", &format!("{at:?}"));
+    wait_until("the first balancer lists the second", || {
         show_members(&admin, &["--json"]).1.contains("balancer-two")
     });
-    until("both ways", || {
+    wait_until("the second balancer lists the first", || {
         show_members(&other, &["--json"]).1.contains("balancer-one")
     });
     let (_, text) = show_members(&admin, &[]);
@@ -73,63 +75,64 @@
             .any(|line| line.starts_with("balancer-two") && line.contains("alive")),
         "{text}"
     );
-    let figures = admin.figures();
+    let metrics = admin.metrics();
     assert_eq!(
-        figures[r#"balancer_members{state="alive"}"#], 1.0,
-        "{figures:?}"
+        metrics[r#"balancer_members{state="alive"}"#], 1.0,
+        "{metrics:?}"
     );
-    assert!(figures["balancer_members_bytes"] > 0.0 && figures["balancer_members_cut_off"] == 0.0);
-    one.logged("membership: member joined name=balancer-two zone=a");
+    assert!(metrics["balancer_members_bytes"] > 0.0 && metrics["balancer_members_cut_off"] == 0.0);
+    one.wait_for_log("membership: member joined name=balancer-two zone=a");
     two.terminate();
-    one.logged("membership: member left name=balancer-two");
-    std::fs::remove_dir_all(folder).unwrap();
+    one.wait_for_log("membership: member left name=balancer-two");
+    std::fs::remove_dir_all(directory).unwrap();
 }
 
-/// Without the section, operators' calls are what they were, and the command says why there is nothing.
+/// Without the section `[instances]`, the operator API has no such calls and metrics, and the command fails
+/// with the reason.
 #[test]
-fn absent_there_is_nothing_of_it() {
+fn without_the_section_there_are_no_calls_and_no_metrics() {
     let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     assert_eq!(admin.get("/control/instances").status(), 404);
-    assert!(!admin.figures().keys().any(|name| name.contains("members")));
-    let (sound, text) = show_members(&admin, &[]);
+    assert!(!admin.metrics().keys().any(|name| name.contains("members")));
+    let (succeeded, text) = show_members(&admin, &[]);
     assert!(
-        !sound && text.contains("no `[instances]` in its operators' file"),
+        !succeeded && text.contains("no `[instances]` in its operators' file"),
         "{text}"
     );
 }
 
-/// What cannot work is refused before anything listens, by the field and the file.
+/// The program must reject an invalid operator file before it listens, with one line that names the field.
 #[test]
 fn an_invalid_file_is_rejected_by_its_field() {
-    let folder = std::env::temp_dir().join(format!("woadstall-members-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let file = folder.join("operator.toml");
+    let directory = std::env::temp_dir().join(format!("woadstall-members-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let file = directory.join("operator.toml");
     let cases = [
         ("key_file = \"absent\"", "`key_file`"),
         ("insecure = true\nseeds_file = \"absent\"", "`seeds_file`"),
         ("insecure = true\nname = \"a b\"", "`instances.name`"),
         ("", "`instances.key_file`"),
     ];
-    for (more, field) in cases {
+    for (extra, field) in cases {
         std::fs::write(
             &file,
-            format!("[instances]\nlisten = \"127.0.0.1:0\"\n{more}\n"),
+            format!("[instances]\nlisten = \"127.0.0.1:0\"\n{extra}\n"),
         )
         .unwrap();
         let mut command = Command::new(common::program::program_path());
         let checked = command.arg("check").arg(&file).output().unwrap();
-        let said = String::from_utf8(checked.stdout).unwrap();
+        let text = String::from_utf8(checked.stdout).unwrap();
         assert!(
-            !checked.status.success() && said.contains(field) && said.lines().count() == 1,
-            "{said}"
+            !checked.status.success() && text.contains(field) && text.lines().count() == 1,
+            "{text}"
         );
         let environment = [("LB_OPERATOR", file.to_str().unwrap().to_owned())];
-        let (status, said) =
+        let (status, text) =
             run_to_end_in(&config(refused_address(), &[]).to_string(), &environment);
         assert!(
-            !status.success() && said.contains(field) && said.lines().count() == 1,
-            "{said}"
+            !status.success() && text.contains(field) && text.lines().count() == 1,
+            "{text}"
         );
     }
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -46,7 +46,7 @@
     for (class, status) in [("look", 200), ("look", 200), ("post", 502), ("pay", 503)] {
         assert_eq!(program.call(class).status(), status);
     }
-    let figures = admin.figures();
+    let figures = admin.metrics();
     let tries = upstream.count_requests();
     let expected = [
         (r#"balancer_ok{kind="look"}"#, 2),
@@ -199,7 +199,7 @@
         classes[0]["Effect"] = "non_idempotent".into(); // `look` is safe no more
     });
     program.reload(&after.to_string());
-    program.logged("configuration_applied discovery=");
+    program.wait_for_log("configuration_applied discovery=");
     let mut caller = program.connect();
     caller.send("fresh", "0.2", "b");
     assert_eq!(
@@ -218,7 +218,7 @@
         502,
         "it ends as it began, at its deadline"
     );
-    let figures = admin.figures();
+    let figures = admin.metrics();
     assert_eq!(figures[r#"balancer_errors{kind="fresh"}"#], 1.0);
     assert_eq!(figures[r#"balancer_errors{kind="post"}"#], 1.0);
     assert_eq!(figures["balancer_config_applied"], 1.0);
@@ -236,7 +236,7 @@
     let mut fewer = before.clone();
     fewer["settings"]["Limits"]["TryLimit"] = 1.into();
     program.reload(&fewer.to_string());
-    program.logged("configuration_applied discovery=");
+    program.wait_for_log("configuration_applied discovery=");
     assert_eq!(program.call("pay").status(), 502);
     assert_eq!(upstream.count_requests(), 1);
 
@@ -244,7 +244,7 @@
         classes[1]["Effect"] = "non_idempotent".into()
     });
     program.reload(&strict.to_string());
-    program.logged("configuration_applied discovery=");
+    program.wait_for_log("configuration_applied discovery=");
     let mut caller = program.connect();
     let request = request("pay", LONG_BUDGET, "b").replace("Idempotency-Key: 5c0f6e1a\r\n", "");
     caller.write(&request);
@@ -283,10 +283,10 @@
     ];
     for file in &files {
         program.reload(file);
-        program.logged("configuration_rejected error=");
+        program.wait_for_log("configuration_rejected error=");
         assert_eq!(program.call("post").status(), 200, "{file}");
     }
-    let figures = admin.figures();
+    let figures = admin.metrics();
     assert_eq!(figures["balancer_config_rejected"], files.len() as f64);
     assert_eq!(figures["balancer_config_applied"], 0.0);
 }
@@ -337,8 +337,8 @@
         .filter(|seen| matches!(seen, UpstreamEvent::Connected))
         .count();
     assert_eq!(connections, 0, "the first connection serves them all");
-    assert_eq!(admin.figures()[r#"balancer_ok{kind="post"}"#], 3.0);
-    assert_eq!(admin.figures()["balancer_active"], 0.0);
+    assert_eq!(admin.metrics()[r#"balancer_ok{kind="post"}"#], 3.0);
+    assert_eq!(admin.metrics()["balancer_active"], 0.0);
 }
 
 /// Guards the memory: answers of many callers that read nothing must not be held here.
@@ -348,7 +348,7 @@
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     program.call("look");
-    let before = program.memory();
+    let before = program.resident_memory_kib();
     let mut callers: Vec<_> = (0..12).map(|_| program.connect()).collect();
     callers
         .iter_mut()
@@ -356,16 +356,16 @@
     for caller in &mut callers {
         caller.await_data();
     }
-    let grown = program.memory().saturating_sub(before);
+    let grown = program.resident_memory_kib().saturating_sub(before);
     assert!(grown < 16 << 10, "{grown} KiB more for 192 MiB of answers");
-    assert_eq!(admin.figures()["balancer_active"], 12.0);
+    assert_eq!(admin.metrics()["balancer_active"], 12.0);
     let mut last = callers.pop().unwrap();
     assert_eq!(
         last.read_response().expect("an answer").body.len(),
         large(16 << 20).len()
     );
     drop(callers);
-    while admin.figures()["balancer_active"] > 0.0 {
+    while admin.metrics()["balancer_active"] > 0.0 {
         std::thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(program.call("look").status(), 200);
@@ -387,10 +387,10 @@
         "the answer is short of its length"
     );
     assert_eq!(upstream.count_requests(), 1);
-    while admin.figures()["balancer_active"] > 0.0 {
+    while admin.metrics()["balancer_active"] > 0.0 {
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(admin.figures()[r#"balancer_errors{kind="look"}"#], 1.0);
+    assert_eq!(admin.metrics()[r#"balancer_errors{kind="look"}"#], 1.0);
 }
 
 #[test]
@@ -447,13 +447,13 @@
     });
     let mut settings = config(refused_address(), &in_service(&[&sound, &broken]));
     let (first, operators) = Program::start_in(&settings, &environment);
-    while operators.figures()["balancer_pool_ejected"] == 0.0 {
+    while operators.metrics()["balancer_pool_ejected"] == 0.0 {
         assert_eq!(first.call("look").status(), 200);
     }
     settings["listen"] = first.address.to_string().into();
     let (second, operators) = Program::start_in(&settings, &environment);
     assert_eq!(
-        operators.figures()["balancer_pool_ejected"],
+        operators.metrics()["balancer_pool_ejected"],
         1.0,
         "before its first call"
     );
@@ -461,7 +461,7 @@
     first.terminate();
     assert!(first.end().0.success());
     let (third, operators) = Program::start_in(&settings, &environment);
-    assert_eq!(operators.figures()["balancer_pool_size"], 2.0);
+    assert_eq!(operators.metrics()["balancer_pool_size"], 2.0);
     drop(second);
     assert_eq!(third.call("look").status(), 200);
     std::fs::remove_dir_all(folder).ok();
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,5 +1,5 @@
-//! Settings that change while requests are under way. A request ends under what is stricter, the settings it came under
-//! or those in force.
+//! Tests of settings that change while requests are in flight. The stricter settings apply to such a request:
+//! those at its arrival or those in force.
 
 mod common;
 
@@ -8,23 +8,24 @@
 use std::sync::{Arc, Barrier};
 use woadstall_mock_servers::http1::*;
 
-/// An upstream that holds a request with the body `first` until the test lets its attempt break, and answers all others.
-struct Breaking {
+/// An upstream that delays a request with the body `first` until the test breaks the attempt, and responds to
+/// all other requests.
+struct BreakingUpstream {
     upstream: Upstream,
-    /// Passed once the request is held.
+    /// Released when the upstream has received the request.
     pending: Arc<Barrier>,
-    /// Passed when its attempt is to break.
+    /// Released when the upstream must close the connection without a response.
     broken: Arc<Barrier>,
 }
 
-impl Breaking {
+impl BreakingUpstream {
     fn start() -> Self {
         let (pending, broken) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-        let (hold, broke) = (pending.clone(), broken.clone());
+        let (received, break_signal) = (pending.clone(), broken.clone());
         let upstream = Upstream::start(move |message| match message.body == b"first" {
             true => {
-                hold.wait();
-                broke.wait();
+                received.wait();
+                break_signal.wait();
                 Reaction::RespondAndClose(String::new())
             }
             false => Reaction::Respond(ok_response("served")),
@@ -37,14 +38,14 @@
     }
 }
 
-/// A keyed request is held at its upstream, the class `pay` changes at a SIGHUP, and then the attempt breaks. Returns
-/// the status that the caller gets, and how many attempts there were after the first.
-fn changed_in_flight(change: impl Fn(&mut Value)) -> (u16, usize) {
-    let Breaking {
+/// Changes the class `pay` by SIGHUP while a request with an idempotency key is pending at its upstream, and
+/// then breaks the attempt. Returns the status of the response and the number of retries.
+fn retry_after_change(change: impl Fn(&mut Value)) -> (u16, usize) {
+    let BreakingUpstream {
         upstream,
         pending,
         broken,
-    } = Breaking::start();
+    } = BreakingUpstream::start();
     let other = Upstream::start(|_| Reaction::Respond(ok_response("repeated")));
     let discovery = Discovery::start();
     let before = config(discovery.address, &in_service(&[&upstream]));
@@ -58,7 +59,7 @@
     let mut after = before.clone();
     change(&mut after["settings"]["Classes"][1]);
     program.reload(&after.to_string());
-    program.logged("configuration_applied discovery=");
+    program.wait_for_log("configuration_applied discovery=");
     broken.wait();
     let status = caller.read_response().expect("an answer").status();
     (status, other.count_requests())
@@ -66,40 +67,40 @@
 
 #[test]
 fn a_keyed_request_in_flight_is_retried_while_its_settings_stay() {
-    assert_eq!(changed_in_flight(|_| {}), (200, 1));
-    // A longer window is not its own.
+    assert_eq!(retry_after_change(|_| {}), (200, 1));
+    // The longer window of the new settings does not apply to the request in flight.
     assert_eq!(
-        changed_in_flight(|class| class["WindowNs"] = json!(90_000_000_000_u64)),
+        retry_after_change(|class| class["WindowNs"] = json!(90_000_000_000_u64)),
         (200, 1)
     );
-    // Where repeats would be harmless now, they are harmless for it as well.
+    // If the class becomes safe to repeat, retries of the request in flight stay allowed.
     assert_eq!(
-        changed_in_flight(|class| class["Effect"] = json!("read_like")),
+        retry_after_change(|class| class["Effect"] = json!("read_like")),
         (200, 1)
     );
 }
 
-/// Guards rule 2: upstreams may go by the new terms already.
+/// Guards rule 2: upstreams may already apply the new settings, under which a retry is not safe.
 #[test]
 fn stricter_settings_apply_to_a_keyed_request_in_flight() {
     assert_eq!(
-        changed_in_flight(|class| class["Effect"] = json!("non_idempotent")),
+        retry_after_change(|class| class["Effect"] = json!("non_idempotent")),
         (502, 0)
     );
     assert_eq!(
-        changed_in_flight(|class| class["WindowNs"] = json!(1)),
+        retry_after_change(|class| class["WindowNs"] = json!(1)),
         (502, 0)
     );
 }
 
-/// A class that changes its place in the settings, or its name, leaves the requests under way as they are.
+/// A change of the position or name of a class in the settings must not affect requests in flight.
 #[test]
 fn positions_and_names_may_change_while_requests_are_in_flight() {
-    let Breaking {
+    let BreakingUpstream {
         upstream,
         pending,
         broken,
-    } = Breaking::start();
+    } = BreakingUpstream::start();
     for rename in [false, true] {
         let before = config(refused_address(), &in_service(&[&upstream]));
         let mut program = Program::start(&before);
@@ -113,20 +114,24 @@
             classes[0]["Name"] = json!("send");
         }
         program.reload(&after.to_string());
-        program.logged("configuration_applied discovery=");
+        program.wait_for_log("configuration_applied discovery=");
         upstream.events.try_iter().for_each(drop);
         broken.wait();
         assert_eq!(
             caller.read_response().expect("an answer").status(),
             502,
-            "unsafe work stays so"
+            "the request stays non-idempotent"
+        );
+        assert_eq!(
+            upstream.count_requests(),
+            0,
+            "no retry, since the request may have been executed"
         );
-        assert_eq!(upstream.count_requests(), 0, "it may have run");
         for class in ["look", "pay"] {
             assert_eq!(
                 program.call(class).status(),
                 200,
-                "{class} means what it meant"
+                "{class} keeps its settings"
             );
         }
         if rename {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -30,7 +30,7 @@
 /// Sends SIGTERM, and waits until the program has heard of it.
 fn terminate(program: &Program, operators: &Operators) {
     program.terminate();
-    until("it stops", || {
+    wait_until("it stops", || {
         operators.get("/control/ready").status() == 503
     });
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -471,9 +471,9 @@
         assert_eq!(program.call("post").status(), 200);
     };
     (0..20).for_each(publish);
-    let before = program.memory();
+    let before = program.resident_memory_kib();
     (20..120).for_each(publish);
-    let grown = program.memory().saturating_sub(before);
+    let grown = program.resident_memory_kib().saturating_sub(before);
     assert!(grown < 8 << 10, "{grown} KiB more after 30,000 upstreams");
 }
 
@@ -563,7 +563,7 @@
     program.reload("{");
     assert!(
         program
-            .logged("configuration_rejected")
+            .wait_for_log("configuration_rejected")
             .contains("error=\"configuration: ")
     );
     first.publish(&[target("s-old", old.address, "in_service")]);
