--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -19,7 +19,7 @@
 }
 
 /// Runs the program; returns its standard output, its standard error and its exit code.
-fn output(folder: &Path, arguments: &[&str]) -> String {
+fn output(directory: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(program_path());
     for variable in [
         "LB_CONFIG",
@@ -32,7 +32,7 @@
         command.env_remove(variable);
     }
     let output = command
-        .current_dir(folder)
+        .current_dir(directory)
         .args(arguments)
         .output()
         .unwrap();
@@ -40,7 +40,7 @@
     format!("{text}exit code {}\n", output.status.code().unwrap())
 }
 
-fn folder(name: &str) -> PathBuf {
+fn directory(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("golden-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
@@ -116,16 +116,16 @@
 
 #[test]
 fn the_findings_of_a_check_of_configurations() {
-    let folder = folder("check-json");
-    let sound = config(refused_address(), &[]);
+    let directory = directory("check-json");
+    let valid = config(refused_address(), &[]);
     let mut files: Vec<(String, String)> = vec![
-        ("sound.json".to_owned(), sound.to_string()),
+        ("sound.json".to_owned(), valid.to_string()),
         ("empty.json".to_owned(), String::new()),
         ("list.json".to_owned(), "[]".to_owned()),
-        ("more.json".to_owned(), format!("{sound} x")),
+        ("more.json".to_owned(), format!("{valid} x")),
     ];
     for key in ["discovery", "limits", "listen", "seed", "settings"] {
-        let mut without = sound.clone();
+        let mut without = valid.clone();
         without.as_object_mut().unwrap().remove(key).unwrap();
         files.push((format!("without-{key}.json"), without.to_string()));
     }
@@ -151,19 +151,19 @@
         (&["settings", "Zone"], json!(1)),
     ];
     for (number, (path, value)) in changed.into_iter().enumerate() {
-        let mut file = sound.clone();
+        let mut file = valid.clone();
         *value_at(&mut file, path) = value;
         files.push((
             format!("{number:02}-{}.json", path.join("-")),
             file.to_string(),
         ));
     }
-    assert_golden("check-json.txt", &check_output(&folder, &files));
+    assert_golden("check-json.txt", &check_output(&directory, &files));
 }
 
 #[test]
 fn the_findings_of_a_check_of_operator_files() {
-    let folder = folder("check-toml");
+    let directory = directory("check-toml");
     let instances = |more: &str| format!("[instances]\nlisten = \"127.0.0.1:0\"\n{more}\n");
     let files = [
         ("sound.toml", "[plugin]\nconnections = 2\n".to_owned()),
@@ -183,23 +183,23 @@
         ("no-ending", String::new()),
     ];
     let files = files.map(|(name, text)| (name.to_owned(), text));
-    let missing = output(&folder, &["check", "missing.toml"]);
+    let missing = output(&directory, &["check", "missing.toml"]);
     assert_golden(
         "check-toml.txt",
-        &(check_output(&folder, &files) + &missing),
+        &(check_output(&directory, &files) + &missing),
     );
 }
 
 /// Writes the files, runs `woadstall check` on all of them, and returns its output.
-fn check_output(folder: &Path, files: &[(String, String)]) -> String {
+fn check_output(directory: &Path, files: &[(String, String)]) -> String {
     let mut arguments = vec!["check"];
     for (name, text) in files {
-        std::fs::write(folder.join(name), text).unwrap();
+        std::fs::write(directory.join(name), text).unwrap();
         arguments.push(name);
     }
-    let text = output(folder, &arguments);
-    std::fs::remove_dir_all(folder).unwrap();
-    std::fs::create_dir_all(folder).unwrap();
+    let text = output(directory, &arguments);
+    std::fs::remove_dir_all(directory).unwrap();
+    std::fs::create_dir_all(directory).unwrap();
     text
 }
 
--- a/tests/golden_help.rs
+++ b/tests/golden_help.rs
@@ -1,4 +1,4 @@
-//! What the system's commands print: their help, tables, findings and errors stay as they are.
+//! Golden tests of the output of the commands: help, tables, findings and errors.
 
 #[path = "common/program.rs"]
 mod program;
@@ -7,12 +7,12 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn folder() -> PathBuf {
+fn golden_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
 fn assert_golden(name: &str, text: &str) {
-    let path = folder().join(name);
+    let path = golden_directory().join(name);
     let expected = std::fs::read_to_string(&path).unwrap();
     assert_eq!(text, expected, "{name}");
 }
@@ -20,15 +20,15 @@
 fn run(arguments: &[&str]) -> Output {
     Command::new(program_path())
         .args(arguments)
-        .current_dir(folder())
+        .current_dir(golden_directory())
         .env_remove("LB_CONFIG")
         .env_remove("WOADSTALL_BOOT")
         .output()
         .unwrap()
 }
 
-/// The exit code and all that was written.
-fn written(arguments: &[&str]) -> String {
+/// Runs the program; returns its exit code, standard output and standard error as text.
+fn output_text(arguments: &[&str]) -> String {
     let output = run(arguments);
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     let code = output.status.code().unwrap();
@@ -53,7 +53,7 @@
         text += &format!(
             "=== woadstall {}\n{}\n",
             arguments.join(" "),
-            written(arguments)
+            output_text(arguments)
         );
     }
     assert_golden("help.txt", &text);
@@ -78,7 +78,7 @@
         text += &format!(
             "=== woadstall {}\n{}\n",
             arguments.join(" "),
-            written(arguments)
+            output_text(arguments)
         );
     }
     assert_golden("wrong-command-lines.txt", &text);
@@ -86,8 +86,14 @@
 
 #[test]
 fn why_prints_the_same_tables() {
-    assert_golden("why.txt", &written(&["why", "front-1.log", "front-2.log"]));
-    assert_golden("why-cut.txt", &written(&["why", "front-1.log", "cut.log"]));
+    assert_golden(
+        "why.txt",
+        &output_text(&["why", "front-1.log", "front-2.log"]),
+    );
+    assert_golden(
+        "why-cut.txt",
+        &output_text(&["why", "front-1.log", "cut.log"]),
+    );
 }
 
 #[test]
@@ -104,11 +110,11 @@
 fn check_system_prints_the_same_findings() {
     assert_golden(
         "check-sound.txt",
-        &written(&["check-system", "boot.json", "configuration.json"]),
+        &output_text(&["check-system", "boot.json", "configuration.json"]),
     );
     assert_golden(
         "check-faults.txt",
-        &written(&[
+        &output_text(&[
             "check-system",
             "boot.json",
             "boot-faults.json",
--- a/tests/golden_membership.rs
+++ b/tests/golden_membership.rs
@@ -1,4 +1,4 @@
-//! What operators read of membership must not change: the answer of `/control/instances` as JSON, and as text.
+//! Golden tests of the membership report: the response of `/control/instances` as JSON and as text.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The report is written as it was, for programs and for people, and what was written is read as the same report.
+/// Asserts that a report equals its golden files as JSON and as text, and that parsing the JSON restores it.
 fn assert_golden_report(form: &str, report: &Report) {
     let json = serde_json::to_string(report).unwrap();
     let mut text = Vec::new();
@@ -59,12 +59,9 @@
     }
 }
 
-/// Each field with a value of its own.
+/// Each field has a distinct value, so that exchanged fields are detected.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one course of events, or one table of cases"
-)]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn report_of_each_state() {
     let path = |from: &str, to: &str, total, partitioned| ZonePathReport {
         from: from.to_owned(),
@@ -165,7 +162,7 @@
     }
 }
 
-/// What a member concludes about others in each state, after fixed messages.
+/// The report of a member about other members in each state, after a fixed sequence of messages.
 #[test]
 fn report_of_a_member() {
     let settings = Settings::default();
@@ -210,7 +207,7 @@
         "membership-report-of-a-member",
         &Report::new(&node, rejections, SECOND / 2 + 7_654_321),
     );
-    // Much later: the suspicion has expired, and nobody was reached.
+    // After this time, the suspicion has expired, and no member was reached.
     for turn in 1..60 {
         node.tick(SECOND / 2 + turn * SECOND / 4);
         while node.next_outgoing().is_some() {}
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire, pinned to the byte: every record of a batch, every error, and every action of a reply.
+//! Golden tests of the simulator's wire protocol, byte for byte: each record of a batch, each error and each
+//! action of a reply.
 
 use woadstall::wire::{BATCH_HEADER, BatchHeader, Record, Reply, WireError, records};
 use woadstall_decisions::api::{
@@ -6,21 +7,21 @@
     ServerEntry, ServerId, ZoneId,
 };
 
-/// Compares with the fixture of this name.
+/// Asserts that `text` equals the golden file `name`.
 fn assert_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     let expected = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     assert_eq!(text, expected, "{name}");
 }
 
-/// A record of 48 bytes that begins so.
+/// Builds a record of 48 bytes: the parts, followed by zeros.
 fn record(parts: &[&[u8]]) -> Vec<u8> {
     let mut bytes = parts.concat();
     bytes.resize(48, 0);
     bytes
 }
 
-/// What a batch of one record and a tail says.
+/// Decodes a batch of one record and a tail.
 fn decoded(record: &[u8], tail: &[u8]) -> Result<Record<'static>, WireError> {
     let header = BatchHeader {
         now: 1,
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,5 @@
-//! The daemon day by day: the second address, the figures, a drain of clients, a second process.
+//! Tests of the operation of the daemon: the admin address, the metrics, draining of clients, reloads and
+//! upgrades to a second process.
 
 mod common;
 
@@ -16,21 +17,21 @@
     assert_eq!(
         admin.get("/control/out-of-service").status(),
         405,
-        "a look changes nothing"
+        "GET does not change the state"
     );
     let mut caller = program.connect();
     caller.write("GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n");
     assert_eq!(
         caller.read_response().unwrap().status(),
         404,
-        "callers can't reach the operators' calls"
+        "the client address does not serve the operator API"
     );
 
     let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
     assert_eq!(
         admin.get("/control/ready").status(),
         503,
-        "there is no upstream to send to"
+        "there is no upstream"
     );
 }
 
@@ -46,7 +47,7 @@
     for (class, status) in [("look", 200), ("look", 200), ("post", 502), ("pay", 503)] {
         assert_eq!(program.call(class).status(), status);
     }
-    let figures = admin.metrics();
+    let metrics = admin.metrics();
     let tries = upstream.count_requests();
     let expected = [
         (r#"balancer_ok{kind="look"}"#, 2),
@@ -58,23 +59,23 @@
         ("balancer_pool_size", 1),
     ];
     for (name, value) in expected {
-        assert_eq!(figures[name], value as f64, "{name} in {figures:?}");
+        assert_eq!(metrics[name], value as f64, "{name} in {metrics:?}");
     }
 }
 
-/// Guards against a few silent connections that keep operators out when they are needed.
+/// Guards against idle connections that block the operator API.
 #[test]
-fn open_connections_keep_no_operator_out() {
+fn open_connections_do_not_block_operators() {
     let (_program, admin) = Program::start_with_admin(&config(refused_address(), &[]));
-    let held: Vec<_> = (0..50)
+    let open_connections: Vec<_> = (0..50)
         .map(|_| {
-            let mut held = admin.connect();
-            held.write("GET /control/re");
-            held
+            let mut connection = admin.connect();
+            connection.write("GET /control/re");
+            connection
         })
         .collect();
     assert_eq!(admin.get("/control/ready").status(), 503);
-    drop(held);
+    drop(open_connections);
 }
 
 #[test]
@@ -82,7 +83,7 @@
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
-    let healthy = || {
+    let health_status = || {
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
         caller.read_response().unwrap().status()
@@ -93,12 +94,12 @@
     let mut writing = program.connect();
     let request = request("look", LONG_BUDGET, "");
     let (start, end) = request.split_at(40);
-    assert_eq!(healthy(), 200);
+    assert_eq!(health_status(), 200);
 
     assert_eq!(admin.post("/control/out-of-service").status(), 200);
-    let asked = Instant::now();
-    assert_eq!(healthy(), 503);
-    // A client in the midst of its requests goes when an answer tells it to, and no request of it is lost.
+    let started = Instant::now();
+    assert_eq!(health_status(), 503);
+    // A busy client is disconnected by a response with `Connection: close`, so that none of its requests is lost.
     loop {
         let answer = busy.call("look", LONG_BUDGET, "").expect("an answer");
         assert_eq!(answer.status(), 200);
@@ -117,30 +118,30 @@
         "an idle connection is closed"
     );
     assert!(
-        asked.elapsed() < Duration::from_millis(3500),
+        started.elapsed() < Duration::from_millis(3500),
         "{:?}",
-        asked.elapsed()
+        started.elapsed()
     );
     writing.write(end);
     assert_eq!(
         writing.read_response().unwrap().status(),
         200,
-        "whoever was writing gets its answer"
+        "a request whose head has begun is served"
     );
 
     assert_eq!(admin.post("/control/in-service").status(), 200);
-    assert_eq!(healthy(), 200);
+    assert_eq!(health_status(), 200);
     let mut caller = program.connect();
     for _ in 0..3 {
         let answer = caller.call("look", LONG_BUDGET, "").expect("an answer");
         assert!(
             !answer.headers.contains_key("connection"),
-            "clients stay again"
+            "client connections are kept open again"
         );
     }
 }
 
-/// Guards the start of an upgrade: the successor must be able to listen while its predecessor serves.
+/// Guards the start of an upgrade: the new process must be able to listen while the old process serves.
 #[test]
 fn a_second_process_serves_beside_the_first_and_alone_after_it() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
@@ -160,12 +161,12 @@
         assert_eq!(
             second.call("look").status(),
             200,
-            "all goes to the one that stayed"
+            "the remaining process gets all calls"
         );
     }
 }
 
-/// A configuration with its classes changed.
+/// Returns a copy of the configuration with changed classes.
 fn with_classes(
     config: &serde_json::Value,
     change: impl Fn(&mut Vec<serde_json::Value>),
@@ -185,8 +186,8 @@
     let before = config(discovery.address, &in_service(&[&upstream]));
     discovery.set(&in_service(&[&upstream]));
     let (mut program, admin) = Program::start_with_admin(&before);
-    let mut under_way = program.connect();
-    under_way.send("post", "1.5", "b");
+    let mut in_flight = program.connect();
+    in_flight.send("post", "1.5", "b");
     upstream.request();
     assert_eq!(program.call("fresh").status(), 404);
 
@@ -196,7 +197,7 @@
         fresh["Name"] = "fresh".into();
         fresh["Effect"] = "non_idempotent".into();
         classes.push(fresh);
-        classes[0]["Effect"] = "non_idempotent".into(); // `look` is safe no more
+        classes[0]["Effect"] = "non_idempotent".into(); // `look` is no longer safe
     });
     program.reload(&after.to_string());
     program.wait_for_log("configuration_applied discovery=");
@@ -205,33 +206,36 @@
     assert_eq!(
         caller.read_response().unwrap().status(),
         502,
-        "it is sent, and the upstream is silent"
+        "the request is sent, and the upstream does not respond"
     );
     assert_eq!(upstream.request().start_line, "POST /fresh?x=1 HTTP/1.1");
     assert_eq!(
         program.call("look").status(),
         200,
-        "a caller that has not heard of the change yet"
+        "a client that still uses the former settings is served"
     );
     assert_eq!(
-        under_way.read_response().unwrap().status(),
+        in_flight.read_response().unwrap().status(),
         502,
-        "it ends as it began, at its deadline"
+        "the request ends at its deadline under the former settings"
     );
-    let figures = admin.metrics();
-    assert_eq!(figures[r#"balancer_errors{kind="fresh"}"#], 1.0);
-    assert_eq!(figures[r#"balancer_errors{kind="post"}"#], 1.0);
-    assert_eq!(figures["balancer_config_applied"], 1.0);
+    let metrics = admin.metrics();
+    assert_eq!(metrics[r#"balancer_errors{kind="fresh"}"#], 1.0);
+    assert_eq!(metrics[r#"balancer_errors{kind="post"}"#], 1.0);
+    assert_eq!(metrics["balancer_config_applied"], 1.0);
 }
 
-/// Guards rule 2 over a change: what is stricter holds for each request that comes after it.
+/// Guards rule 2 across a reload: stricter settings apply to each later request.
 #[test]
 fn a_stricter_effect_and_fewer_attempts_apply_after_a_reload() {
     let upstream = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
     let before = config(refused_address(), &in_service(&[&upstream]));
     let (mut program, _) = Program::start_with_admin(&before);
     assert_eq!(program.call("pay").status(), 502);
-    assert!(upstream.count_requests() > 1, "keyed work is sent again");
+    assert!(
+        upstream.count_requests() > 1,
+        "a request with an idempotency key is retried"
+    );
 
     let mut fewer = before.clone();
     fewer["settings"]["Limits"]["TryLimit"] = 1.into();
@@ -286,19 +290,19 @@
         program.wait_for_log("configuration_rejected error=");
         assert_eq!(program.call("post").status(), 200, "{file}");
     }
-    let figures = admin.metrics();
-    assert_eq!(figures["balancer_config_rejected"], files.len() as f64);
-    assert_eq!(figures["balancer_config_applied"], 0.0);
+    let metrics = admin.metrics();
+    assert_eq!(metrics["balancer_config_rejected"], files.len() as f64);
+    assert_eq!(metrics["balancer_config_applied"], 0.0);
 }
 
-/// A body of this many bytes that is not the same anywhere.
-fn large(bytes: usize) -> String {
+/// Returns a body of `bytes` bytes in which each block of eight bytes is different.
+fn distinct_bytes(bytes: usize) -> String {
     (0..bytes / 8).map(|at| format!("{at:07} ")).collect()
 }
 
 #[test]
 fn large_bodies_and_responses_pass_unchanged_and_connections_are_reused() {
-    let answer = large(3 << 20);
+    let answer = distinct_bytes(3 << 20);
     let chunked = {
         let parts = answer.as_bytes().chunks(100_000).map(|part| {
             format!(
@@ -312,7 +316,7 @@
             parts.collect::<String>()
         )
     };
-    let (whole, sent) = (answer.clone(), large(2 << 20));
+    let (whole, sent) = (answer.clone(), distinct_bytes(2 << 20));
     let upstream = Upstream::start(move |message| match message.start_line.contains("pay") {
         true => Reaction::Respond(chunked.clone()),
         false => Reaction::Respond(ok_response(&whole)),
@@ -336,15 +340,15 @@
         .try_iter()
         .filter(|seen| matches!(seen, UpstreamEvent::Connected))
         .count();
-    assert_eq!(connections, 0, "the first connection serves them all");
+    assert_eq!(connections, 0, "all requests use the first connection");
     assert_eq!(admin.metrics()[r#"balancer_ok{kind="post"}"#], 3.0);
     assert_eq!(admin.metrics()["balancer_active"], 0.0);
 }
 
-/// Guards the memory: answers of many callers that read nothing must not be held here.
+/// Guards the memory limit: the balancer must not buffer large responses for clients that do not read them.
 #[test]
 fn unread_responses_take_no_memory() {
-    let upstream = Upstream::start(|_| Reaction::Respond(ok_response(&large(16 << 20))));
+    let upstream = Upstream::start(|_| Reaction::Respond(ok_response(&distinct_bytes(16 << 20))));
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     program.call("look");
@@ -356,13 +360,16 @@
     for caller in &mut callers {
         caller.await_data();
     }
-    let grown = program.resident_memory_kib().saturating_sub(before);
-    assert!(grown < 16 << 10, "{grown} KiB more for 192 MiB of answers");
+    let growth_kib = program.resident_memory_kib().saturating_sub(before);
+    assert!(
+        growth_kib < 16 << 10,
+        "{growth_kib} KiB more for 192 MiB of answers"
+    );
     assert_eq!(admin.metrics()["balancer_active"], 12.0);
     let mut last = callers.pop().unwrap();
     assert_eq!(
         last.read_response().expect("an answer").body.len(),
-        large(16 << 20).len()
+        distinct_bytes(16 << 20).len()
     );
     drop(callers);
     while admin.metrics()["balancer_active"] > 0.0 {
@@ -375,7 +382,7 @@
 fn a_broken_response_shows_to_its_caller_and_is_not_retried() {
     let broken = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{}",
-        large(200_000)
+        distinct_bytes(200_000)
     );
     let upstream = Upstream::start(move |_| Reaction::RespondAndClose(broken.clone()));
     let (program, admin) =
@@ -384,7 +391,7 @@
     caller.send("look", LONG_BUDGET, "");
     assert!(
         caller.read_response().is_none(),
-        "the answer is short of its length"
+        "the response is shorter than its content length"
     );
     assert_eq!(upstream.count_requests(), 1);
     while admin.metrics()["balancer_active"] > 0.0 {
@@ -411,41 +418,41 @@
     assert_eq!(
         third.read_response().expect("an answer").status(),
         503,
-        "the first two have the room"
+        "the first two bodies have reserved the memory"
     );
     assert_eq!(
         start(40 << 20).read_response().expect("an answer").status(),
         413
     );
-    // Longer than any head may take: what counts is that it goes on.
-    for part in large(64 << 10).as_bytes().chunks(4 << 10) {
+    // Takes longer than the timeout of a head; a body may take this long as long as it makes progress.
+    for part in distinct_bytes(64 << 10).as_bytes().chunks(4 << 10) {
         second.write(std::str::from_utf8(part).unwrap());
         std::thread::sleep(Duration::from_millis(200));
     }
     assert_eq!(second.read_response().expect("an answer").status(), 200);
     assert!(
         first.read_response().is_none(),
-        "a body that does not come is not waited for"
+        "a body without progress times out"
     );
 }
 
-/// A folder that two programs share.
-fn shared(name: &str) -> std::path::PathBuf {
-    let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
+/// Creates a directory that two processes share.
+fn shared_directory(name: &str) -> std::path::PathBuf {
+    let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    folder
+    std::fs::create_dir_all(&directory).unwrap();
+    directory
 }
 
 #[test]
-fn a_successor_knows_what_its_predecessor_has_learned() {
-    let folder = shared("upgrade");
-    let environment = [("TMPDIR", folder.to_str().unwrap().to_owned())];
-    let sound = Upstream::start(|_| Reaction::Respond(ok_response("done")));
+fn a_successor_takes_over_the_state_of_its_predecessor() {
+    let directory = shared_directory("upgrade");
+    let environment = [("TMPDIR", directory.to_str().unwrap().to_owned())];
+    let healthy = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let broken = Upstream::start(|_| {
         Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into())
     });
-    let mut settings = config(refused_address(), &in_service(&[&sound, &broken]));
+    let mut settings = config(refused_address(), &in_service(&[&healthy, &broken]));
     let (first, operators) = Program::start_in(&settings, &environment);
     while operators.metrics()["balancer_pool_ejected"] == 0.0 {
         assert_eq!(first.call("look").status(), 200);
@@ -457,27 +464,28 @@
         1.0,
         "before its first call"
     );
-    // The second can be asked in turn.
+    // The second process in turn passes its state on to a third one.
     first.terminate();
     assert!(first.end().0.success());
     let (third, operators) = Program::start_in(&settings, &environment);
     assert_eq!(operators.metrics()["balancer_pool_size"], 2.0);
     drop(second);
     assert_eq!(third.call("look").status(), 200);
-    std::fs::remove_dir_all(folder).ok();
+    std::fs::remove_dir_all(directory).ok();
 }
 
-/// Guards the start: whatever is at the path where a predecessor would be, the new process serves.
+/// Guards the start: a new process must serve even if the state socket of its predecessor hangs or returns
+/// invalid data.
 #[test]
 fn a_predecessor_that_hangs_or_sends_nonsense_delays_no_start() {
     use std::io::Write;
-    let folder = shared("nonsense");
-    let environment = [("TMPDIR", folder.to_str().unwrap().to_owned())];
+    let directory = shared_directory("nonsense");
+    let environment = [("TMPDIR", directory.to_str().unwrap().to_owned())];
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let mut settings = config(refused_address(), &in_service(&[&upstream]));
     let (first, _) = Program::start_in(&settings, &environment);
     settings["listen"] = first.address.to_string().into();
-    let path = folder.join(format!(
+    let path = directory.join(format!(
         "woadstall-127.0.0.1-{}.state",
         first.address.port()
     ));
@@ -485,18 +493,19 @@
         std::fs::remove_file(&path).unwrap();
         let listener = std::os::unix::net::UnixListener::bind(&path).unwrap();
         let (served, wait) = std::sync::mpsc::channel::<()>();
-        let talks = std::thread::spawn(move || {
+        let predecessor = std::thread::spawn(move || {
             let mut stream = listener.accept().unwrap().0;
             stream.write_all(nonsense.as_bytes()).unwrap();
             if nonsense.is_empty() {
-                wait.recv().ok(); // it hangs until the other one serves
+                wait.recv().ok(); // the predecessor hangs until the new process serves
             }
         });
-        // Its word at the second address comes when it has a socket of its own; a call may be the first one's.
+        // The admin address is logged only after the new process has opened its own client socket; the call itself
+        // may reach either process.
         let (second, _) = Program::start_in(&settings, &environment);
         assert_eq!(second.call("look").status(), 200);
         drop(served);
-        talks.join().unwrap();
+        predecessor.join().unwrap();
     }
-    std::fs::remove_dir_all(folder).ok();
+    std::fs::remove_dir_all(directory).ok();
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,6 @@
-//! SIGTERM while something is still owed. The balancer owes an answer to what it has taken, and an orderly close to who
-//! writes in that instant; a client that writes after the end of the connection owes itself another one.
+//! Tests of SIGTERM with work outstanding. The balancer must respond to each accepted request, and must close
+//! connections gracefully, even if a client writes a request at the moment of the close. A client that writes
+//! after the close must retry on a new connection.
 
 mod common;
 
@@ -11,34 +12,35 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::*;
 
-/// An upstream that holds each answer to a POST until the test lets it go.
-fn holding() -> (Upstream, Sender<()>) {
-    let (let_go, held) = channel();
-    let held = Mutex::new(held);
+/// Starts an upstream that delays each response to a POST until the test releases it.
+fn delaying_upstream() -> (Upstream, Sender<()>) {
+    let (release, released) = channel();
+    let released = Mutex::new(released);
     let upstream = Upstream::start(move |message| {
         if message.start_line.starts_with("POST") {
-            held.lock()
+            released
+                .lock()
                 .unwrap()
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("to be let go");
+                .expect("the test releases the response");
         }
         Reaction::Respond(ok_response(&String::from_utf8_lossy(&message.body)))
     });
-    (upstream, let_go)
+    (upstream, release)
 }
 
-/// Sends SIGTERM, and waits until the program has heard of it.
+/// Sends SIGTERM and waits until the program has begun to shut down.
 fn terminate(program: &Program, operators: &Operators) {
     program.terminate();
-    wait_until("it stops", || {
+    wait_until("the program shuts down", || {
         operators.get("/control/ready").status() == 503
     });
 }
 
-/// What a client has written ahead was taken, and comes before the end of its connection.
+/// Pipelined requests count as accepted: their responses must precede the end of the connection.
 #[test]
 fn pipelined_requests_have_responses_before_the_connection_ends() {
-    let (upstream, let_go) = holding();
+    let (upstream, release) = delaying_upstream();
     let (program, operators) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
@@ -51,54 +53,55 @@
     upstream.request();
     terminate(&program, &operators);
     for body in bodies {
-        let_go.send(()).unwrap();
+        release.send(()).unwrap();
         let answer = caller
             .read_response()
             .unwrap_or_else(|| panic!("no answer to {body}"));
         assert_eq!((answer.status(), &answer.body[..]), (200, body.as_bytes()));
     }
-    assert!(caller.read_response().is_none(), "then it ends");
+    assert!(
+        caller.read_response().is_none(),
+        "the connection ends after the responses"
+    );
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
 }
 
-/// A request that crosses the close of a resting connection is dropped: it is never sent on, and not answered with a
-/// reset, which would overtake what was written last.
+/// A request that crosses the close of an idle connection must not be forwarded. The balancer must not reset the
+/// connection either, since a reset could discard the last response before the client reads it.
 #[test]
 fn a_request_that_crosses_the_close_finds_a_graceful_end() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
-    let mut resting = TcpStream::connect(program.address).unwrap();
-    resting.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    resting
-        .write_all(request("look", LONG_BUDGET, "").as_bytes())
+    let mut idle = TcpStream::connect(program.address).unwrap();
+    idle.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    idle.write_all(request("look", LONG_BUDGET, "").as_bytes())
         .unwrap();
-    assert!(resting.read(&mut [0; 1024]).unwrap() > 0, "an answer");
+    assert!(idle.read(&mut [0; 1024]).unwrap() > 0, "an answer");
     upstream.request();
     program.terminate();
-    // Its answer was complete before the signal, so what comes next is the end.
+    // The response was complete before the signal, so the client reads the end of the connection next.
     assert_eq!(
-        resting.read(&mut [0; 1024]).unwrap(),
+        idle.read(&mut [0; 1024]).unwrap(),
         0,
         "the end of the connection"
     );
-    resting
-        .write_all(request("post", LONG_BUDGET, "crossing").as_bytes())
+    idle.write_all(request("post", LONG_BUDGET, "crossing").as_bytes())
         .unwrap();
-    resting.shutdown(Shutdown::Write).unwrap();
+    idle.shutdown(Shutdown::Write).unwrap();
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
-    let after = resting.read(&mut [0; 1024]);
+    let after = idle.read(&mut [0; 1024]);
     assert!(matches!(after, Ok(0)), "reset: {after:?}");
-    assert!(resting.take_error().unwrap().is_none());
+    assert!(idle.take_error().unwrap().is_none());
     assert_eq!(
         upstream.count_requests(),
         0,
-        "read after the end and sent on"
+        "a request after the close was forwarded"
     );
 }
 
-/// Half a head that stands there at the signal is waited for, and the request is served.
+/// If part of a request head has arrived at the signal, the balancer must wait for the rest and serve the request.
 #[test]
 fn a_head_that_has_begun_may_be_completed() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
@@ -112,7 +115,7 @@
     terminate(&program, &operators);
     assert!(
         other.read_response().is_none(),
-        "connections between requests are closed by now"
+        "idle connections are closed"
     );
     caller.write(rest);
     assert_eq!(caller.read_response().expect("an answer").body, b"served");
@@ -120,10 +123,10 @@
     assert!(status.success(), "{log}");
 }
 
-/// Neither a second SIGTERM nor a SIGHUP cuts a drain short.
+/// Neither a second SIGTERM nor a SIGHUP may shorten the drain.
 #[test]
 fn further_signals_while_draining_change_nothing() {
-    let (upstream, let_go) = holding();
+    let (upstream, release) = delaying_upstream();
     let before = config(refused_address(), &in_service(&[&upstream]));
     let (program, operators) = Program::start_with_admin(&before);
     let mut caller = program.connect();
@@ -135,15 +138,15 @@
     assert_eq!(
         operators.get("/control/ready").status(),
         503,
-        "it still runs"
+        "the program still drains"
     );
-    let_go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(caller.read_response().expect("an answer").body, b"held");
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
 }
 
-/// Nothing is owed to idle clients: they hold up no exit, though they never close.
+/// Idle clients that never close their connections must not delay the exit.
 #[test]
 fn exits_soon_where_nothing_is_outstanding() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -156,7 +159,8 @@
     program.terminate();
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
-    // Half a second for new connections, a second for what may cross; the deadline of the classes is a minute.
+    // The drain takes half a second for new connections and a second for requests that cross the close. The
+    // deadline of the classes is one minute.
     assert!(
         signal.elapsed() < Duration::from_secs(20),
         "{:?}",
@@ -164,12 +168,13 @@
     );
 }
 
-/// A client that sends more than it was answered for: its body is unread when it is refused, and the refusal arrives.
+/// If the balancer rejects a request before it has read the body, the client must still receive the complete
+/// rejection instead of a reset.
 #[test]
 fn a_rejection_arrives_complete_though_the_body_is_not_read() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let mut config = config(refused_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 104.into(); // room for twenty callers
+    config["limits"]["sockets"] = 104.into(); // room for twenty clients
     let program = Program::start(&config);
     let mut busy: Vec<Caller> = (0..20).map(|_| program.connect()).collect();
     for caller in &mut busy {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program over loopback sockets: each test is a failure that a balancer must not have.
+//! Tests of the program over loopback sockets; each test guards against one failure of a balancer.
 
 mod common;
 
@@ -12,8 +12,8 @@
     Program::start(&config(refused_address(), &in_service(&[upstream])))
 }
 
-/// The first request ends with `first`, all later ones are served.
-fn once(first: Reaction) -> impl Fn(&Message) -> Reaction + Send + Sync {
+/// Returns a handler that reacts to the first request with `first` and serves all later requests.
+fn react_once(first: Reaction) -> impl Fn(&Message) -> Reaction + Send + Sync {
     let count = AtomicUsize::new(0);
     move |_| match count.fetch_add(1, Ordering::Relaxed) {
         0 => first.clone(),
@@ -45,7 +45,7 @@
     let budget: f64 = got.headers["x-budget"].parse().unwrap();
     assert!(
         budget > 0.0 && budget < 12.5,
-        "the upstream is told {budget}"
+        "the forwarded budget is {budget}"
     );
 }
 
@@ -82,7 +82,7 @@
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let vague = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     for first in ["", partial, error, vague] {
-        let upstream = Upstream::start(once(Reaction::RespondAndClose(first.into())));
+        let upstream = Upstream::start(react_once(Reaction::RespondAndClose(first.into())));
         let program = served_by(&upstream);
         let answer = program.call("post");
         assert!(
@@ -98,7 +98,7 @@
 fn retries_a_keyed_request_after_a_broken_response() {
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     for first in ["", partial] {
-        let upstream = Upstream::start(once(Reaction::RespondAndClose(first.into())));
+        let upstream = Upstream::start(react_once(Reaction::RespondAndClose(first.into())));
         let answer = served_by(&upstream).call("pay");
         assert_eq!(
             (answer.status(), &answer.body[..]),
@@ -110,7 +110,7 @@
 
 #[test]
 fn retries_a_non_idempotent_request_that_never_ran() {
-    let upstream = Upstream::start(once(Reaction::Respond(overloaded_response())));
+    let upstream = Upstream::start(react_once(Reaction::Respond(overloaded_response())));
     assert_eq!(
         served_by(&upstream).call("post").status(),
         200,
@@ -137,26 +137,26 @@
     let upstream = Upstream::start(|_| Reaction::Respond(overloaded_response()));
     let answer = served_by(&upstream).call("post");
     assert_eq!(answer.status(), 503);
-    let back: f64 = answer.headers["retry-after"].parse().unwrap();
-    assert!(back > 0.0 && back <= 1.0);
+    let retry_after_s: f64 = answer.headers["retry-after"].parse().unwrap();
+    assert!(retry_after_s > 0.0 && retry_after_s <= 1.0);
 }
 
 #[test]
 fn responds_in_time_where_an_upstream_is_unresponsive() {
     let upstream = Upstream::start(|_| Reaction::Stall);
     let program = served_by(&upstream);
-    let asked = Instant::now();
+    let started = Instant::now();
     let answer = program
         .connect()
         .call("post", "0.300", "b")
         .expect("an answer, not an end");
     assert_eq!(answer.status(), 502);
     assert!(
-        asked.elapsed() >= Duration::from_millis(300),
-        "it waits as long as the caller"
+        started.elapsed() >= Duration::from_millis(300),
+        "the balancer waits until the budget is spent"
     );
     upstream.request();
-    upstream.wait_until_closed(); // or the upstream would work on for nobody
+    upstream.wait_until_closed(); // otherwise, the upstream would continue the abandoned work
 }
 
 #[test]
@@ -219,10 +219,15 @@
         assert_eq!(answer.status(), status, "{text:?}");
     }
     assert_eq!(upstream.count_requests(), 0);
-    assert_eq!(program.call("pay").status(), 200, "it serves on");
+    assert_eq!(
+        program.call("pay").status(),
+        200,
+        "the program continues to serve"
+    );
 }
 
-/// Guards against a request hidden in the body of another: one side goes by the length, the other by the chunks.
+/// Guards against request smuggling: with both `Content-Length` and `Transfer-Encoding`, two parsers may disagree
+/// about the end of a body, so that a body can hide a second request.
 #[test]
 fn rejects_a_request_with_both_lengths() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -241,10 +246,7 @@
             400,
             "{both}"
         );
-        assert!(
-            caller.read_response().is_none(),
-            "the connection is of no further use"
-        );
+        assert!(caller.read_response().is_none(), "the connection is closed");
     }
     assert_eq!(upstream.count_requests(), 0);
     let mut caller = program.connect();
@@ -255,12 +257,13 @@
     assert_eq!(
         caller.read_response().unwrap().status(),
         200,
-        "chunks alone are sound"
+        "chunked encoding alone is valid"
     );
     assert_eq!(upstream.request().body, b"abc");
 }
 
-/// Guards the places and the memory: a request is owed within a few seconds, and a head has an end.
+/// Guards the capacity and the memory: a new connection must send a request within a few seconds, and the size of a
+/// request head is limited.
 #[test]
 fn disconnects_callers_that_never_complete_a_request() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -276,7 +279,7 @@
     for begun in cases {
         let mut caller = program.connect();
         caller.write(begun);
-        // An error or the end comes; the program would else wait for the rest, and the test with it.
+        // The program must answer with an error or close the connection instead of waiting for the rest.
         assert!(
             caller
                 .read_response()
@@ -299,30 +302,30 @@
     assert_eq!(
         caller.call("pay", LONG_BUDGET, "b").unwrap().status(),
         200,
-        "one that has asked may rest"
+        "a connection may stay idle after a request"
     );
 }
 
-/// Guards usual clients against crowds: those that have never asked go first.
+/// Guards active clients against many idle connections: connections without any request are closed first.
 #[test]
-fn a_crowd_without_requests_displaces_nobody_else() {
+fn connections_without_requests_displace_no_active_clients() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = 100.into();
     let program = Program::start(&config);
     let mut caller = program.connect();
     assert_eq!(caller.call("pay", LONG_BUDGET, "b").unwrap().status(), 200);
-    let crowd: Vec<Caller> = (0..150).map(|_| program.connect()).collect();
+    let idle_clients: Vec<Caller> = (0..150).map(|_| program.connect()).collect();
     assert_eq!(
         program.call("post").status(),
         200,
-        "a new caller finds a place"
+        "a new client is accepted"
     );
     assert_eq!(caller.call("pay", LONG_BUDGET, "b").unwrap().status(), 200);
-    drop(crowd);
+    drop(idle_clients);
 }
 
-/// Guards against answers that cannot be told apart.
+/// Guards against responses that cannot be attributed to one of two requests with the same id.
 #[test]
 fn rejects_a_second_request_with_an_open_id() {
     let upstream = Upstream::start(|_| Reaction::Stall);
@@ -339,14 +342,14 @@
     drop(first);
     upstream.wait_until_closed();
     let _third = asking();
-    upstream.request(); // the name is free again
+    upstream.request(); // the id is free again
     let mut caller = program.connect();
     caller.write(&same.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
     assert_eq!(caller.read_response().unwrap().status(), 400);
 }
 
-/// Guards against a request whose time begins only once the one in front of it is answered, and against a
-/// caller whose leaving is not seen behind what it has sent ahead.
+/// Guards against a pipelined request whose budget starts only after the response to the previous request, and
+/// against a disconnect that pipelined bytes hide.
 #[test]
 fn a_pipelined_request_has_its_own_time_and_caller() {
     let upstream = Upstream::start(|message| match message.body == b"quick" {
@@ -365,7 +368,7 @@
     assert_ne!(
         caller.read_response().unwrap().status(),
         200,
-        "its time is over"
+        "the budget is spent"
     );
     assert_eq!(caller.read_response().unwrap().body, b"quick");
     assert_eq!(upstream.count_requests(), 2);
@@ -435,11 +438,12 @@
     }
 }
 
-/// Guards against a connection that outlives the process it leads to: the upstream of the same name is another.
+/// Guards against the reuse of a connection to a former process: an upstream with the same name may be a new process
+/// at another address.
 #[test]
 fn does_not_keep_a_connection_to_a_former_process() {
-    let held = Arc::new(Barrier::new(2));
-    let gate = held.clone();
+    let release = Arc::new(Barrier::new(2));
+    let gate = release.clone();
     let old = Upstream::start(move |_| {
         gate.wait();
         Reaction::Respond(ok_response("old"))
@@ -451,12 +455,12 @@
     caller.send("post", LONG_BUDGET, "b");
     old.request();
     discovery.publish(&in_service(&[&new]));
-    held.wait();
+    release.wait();
     assert_eq!(caller.read_response().unwrap().body, b"old");
     assert_eq!(program.call("post").body, b"new");
 }
 
-/// Guards the memory where upstreams are ever new: what is gone is forgotten.
+/// Guards the memory under a constant change of upstreams: the balancer must drop the state of delisted upstreams.
 #[test]
 fn removes_upstreams_that_are_delisted() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -473,11 +477,14 @@
     (0..20).for_each(publish);
     let before = program.resident_memory_kib();
     (20..120).for_each(publish);
-    let grown = program.resident_memory_kib().saturating_sub(before);
-    assert!(grown < 8 << 10, "{grown} KiB more after 30,000 upstreams");
+    let growth_kib = program.resident_memory_kib().saturating_sub(before);
+    assert!(
+        growth_kib < 8 << 10,
+        "{growth_kib} KiB more after 30,000 upstreams"
+    );
 }
 
-/// Guards against answers that belong to nobody: the next request must not be given one.
+/// Guards against surplus bytes after a response: the balancer must not use them as the response to the next request.
 #[test]
 fn does_not_take_a_response_for_that_of_another_request() {
     for more in [ok_response("stale"), "noise".into()] {
@@ -487,7 +494,7 @@
             Reaction::RespondWithSurplus(ok_response("first"), more),
         ] {
             let apart = matches!(first, Reaction::RespondWithSurplus(..));
-            let upstream = Upstream::start(once(first));
+            let upstream = Upstream::start(react_once(first));
             let program = served_by(&upstream);
             let mut caller = program.connect();
             assert_eq!(
@@ -505,8 +512,8 @@
     }
 }
 
-/// Guards the caller against answers that can't be read or have no end: they have failed, and their connection
-/// is of no further use.
+/// Guards clients against malformed or oversized responses: the attempt must fail at once, and the balancer must close
+/// the upstream connection.
 #[test]
 fn gives_up_malformed_responses_at_once() {
     let endless = format!(
@@ -516,20 +523,24 @@
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbegun".to_owned();
     let chunks =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_owned();
-    for spoilt in [endless, huge, chunks, "noise\r\n\r\n".to_owned()] {
-        let upstream = Upstream::start(once(Reaction::Respond(spoilt.clone())));
+    for malformed in [endless, huge, chunks, "noise\r\n\r\n".to_owned()] {
+        let upstream = Upstream::start(react_once(Reaction::Respond(malformed.clone())));
         let program = served_by(&upstream);
-        assert_eq!(program.call("post").status(), 502, "{}", &spoilt[..20]);
+        assert_eq!(program.call("post").status(), 502, "{}", &malformed[..20]);
         upstream.wait_until_closed();
-        assert_eq!(upstream.count_requests(), 0, "it may have run");
+        assert_eq!(
+            upstream.count_requests(),
+            0,
+            "no retry, since the request may have been executed"
+        );
         assert_eq!(program.call("post").body, b"second");
     }
-    let sound = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
-    let upstream = Upstream::start(move |_| Reaction::Respond(sound.into()));
+    let valid = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
+    let upstream = Upstream::start(move |_| Reaction::Respond(valid.into()));
     assert_eq!(served_by(&upstream).call("post").body, b"ok");
 }
 
-/// Guards upstreams against being held at fault for a caller's request, and against getting it again.
+/// Guards against client errors that count as failures of the upstream, and against retries of such requests.
 #[test]
 fn forwards_client_errors() {
     let upstream = Upstream::start(|message| match message.body == b"bad" {
@@ -547,8 +558,8 @@
     assert_eq!(program.call("post").status(), 200);
 }
 
-/// Guards against a signal that ends the program, and against a list that two services share by chance: the
-/// new one's versions say nothing of the old one's.
+/// Guards against a SIGHUP that ends the program, and against a comparison of list versions between two discovery
+/// services, whose versions are independent.
 #[test]
 fn follows_another_discovery_after_a_hangup() {
     let (old, new) = (
@@ -596,7 +607,7 @@
         let mut list = vec![target("s-1", new.address, "in_service")];
         list.extend(listed);
         discovery.publish(&list);
-        old.wait_until_closed(); // what is idle is of no use any more
+        old.wait_until_closed(); // idle connections to the upstream are closed
         for _ in 0..10 {
             assert_eq!(program.call("post").status(), 200);
         }
@@ -626,7 +637,7 @@
         false => Reaction::Stall,
     });
     let mut config = config(refused_address(), &in_service(&[&upstream]));
-    config["limits"]["sockets"] = 104.into(); // room for twenty callers
+    config["limits"]["sockets"] = 104.into(); // room for twenty clients
     let program = Program::start(&config);
     let mut callers: Vec<Caller> = (0..60).map(|_| program.connect()).collect();
     for caller in &mut callers[40..] {
@@ -653,7 +664,7 @@
         assert_eq!(
             answer.status(),
             503,
-            "told at once, not left in the backlog"
+            "rejected at once, not left in the backlog"
         );
         assert!(answer.headers.contains_key("retry-after"));
     }
@@ -666,17 +677,17 @@
 
 #[test]
 fn stops_only_after_all_requests_have_responses() {
-    // On a machine too busy to ask in time, a try tells nothing.
+    // On a busy machine, the calls after the signal may come too late; such an attempt is inconclusive.
     assert!(
         (0..20).any(|_| shuts_down_gracefully()),
-        "no try was fast enough"
+        "no attempt was fast enough"
     );
 }
 
-/// Whether the calls after the signal came early enough to judge by.
+/// Asserts a graceful shutdown; returns whether the calls after the signal came early enough to be conclusive.
 fn shuts_down_gracefully() -> bool {
-    let held = Arc::new(Barrier::new(2));
-    let gate = held.clone();
+    let release = Arc::new(Barrier::new(2));
+    let gate = release.clone();
     let upstream = Upstream::start(move |message| {
         if message.start_line.starts_with("POST") {
             gate.wait();
@@ -704,18 +715,27 @@
             .try_connect()
             .is_some_and(|mut caller| served(caller.call("look", LONG_BUDGET, "")));
     }
-    let judged = signal.elapsed() < Duration::from_millis(400);
-    assert!(!judged || on_new, "new connections are still taken");
+    let is_conclusive = signal.elapsed() < Duration::from_millis(400);
+    assert!(
+        !is_conclusive || on_new,
+        "new connections are still accepted"
+    );
     assert!(
-        !judged || on_open,
-        "open ones are served, and end with that answer"
+        !is_conclusive || on_open,
+        "open connections are served, and end with that response"
+    );
+    assert!(
+        idle.read_response().is_none(),
+        "idle connections are closed"
+    );
+    release.wait();
+    assert_eq!(
+        busy.read_response().expect("the delayed response").status(),
+        200
     );
-    assert!(idle.read_response().is_none(), "then idle ones are closed");
-    held.wait();
-    assert_eq!(busy.read_response().expect("the answer held").status(), 200);
     let (status, log) = program.end();
     assert!(status.success(), "{log}");
-    judged
+    is_conclusive
 }
 
 #[test]
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -1,4 +1,5 @@
-//! The system's processes together, on loopback: founding, requests, changes, kills, restarts, ends.
+//! Tests of a complete system of processes on loopback: bootstrap, requests, configuration changes, kills, restarts and
+//! shutdowns.
 
 #[path = "common/program.rs"]
 mod program;
@@ -49,11 +50,15 @@
 }
 
 #[test]
-fn a_system_is_founded_serves_changes_and_outlives_a_core_machine() {
+fn a_system_bootstraps_applies_changes_and_survives_a_core_server() {
     let mut system = system();
     let early = send_request(&system, "/safe/1");
     if let Some(early) = early.filter(|response| response.status() != 200) {
-        assert_eq!(early.status(), 503, "no configuration yet: not a 404");
+        assert_eq!(
+            early.status(),
+            503,
+            "without a configuration, the status is not 404"
+        );
         assert!(early.headers.contains_key("retry-after"));
     }
     system.configure(0, 0, &configuration(3, &all_routes()));
@@ -71,7 +76,7 @@
     let left: u64 = request.headers["deadline"].parse().unwrap();
     assert!((3_000..=4_000).contains(&left), "{left}");
 
-    // Another machine takes a change; one route is gone, a stale change is refused.
+    // Another core server accepts a change that removes routes, and a stale change is rejected.
     system.configure(1, 3, &configuration(7, &all_routes()[..1]));
     assert_eq!(status(&system, "/once/1"), 404);
     assert_eq!(status(&system, "/safe/1"), 200);
@@ -84,7 +89,7 @@
     );
     assert_eq!(stale.expect("an answer").status(), 412);
 
-    // Without one core machine, and with it again.
+    // A change is accepted while one core server is down, and the restarted server reads it.
     system.kill_core(0);
     system.configure(2, 7, &configuration(8, &all_routes()));
     assert_eq!(status(&system, "/once/1"), 200);
@@ -122,7 +127,8 @@
     front.wait_for("shutdown_started");
     let ready = call(system.ready(0), "GET", "/v1/readiness", "", b"").expect("an answer");
     assert_eq!(ready.status(), 503);
-    let reply = send_request(&system, "/safe/1").expect("clients that heard late are still served");
+    let reply = send_request(&system, "/safe/1")
+        .expect("clients that are not yet notified are still served");
     assert_eq!(
         (reply.status(), reply.headers["connection"].as_str()),
         (200, "close")
@@ -141,14 +147,14 @@
     assert_eq!(
         status(&system, "/once/1"),
         502,
-        "no promise that it has not run"
+        "the request may have been executed"
     );
     assert_eq!(one.count_requests() + other.count_requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 502);
     assert_eq!(
         one.count_requests() + other.count_requests(),
         2,
-        "a safe one goes to two upstreams"
+        "a safe request is sent to two upstreams"
     );
 }
 
@@ -187,8 +193,8 @@
         (passed_on.status(), passed_on.body.as_slice()),
         (500, &b"broken"[..])
     );
-    let sound = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
-    system.register(0, "i-2", "s", sound.address, 0);
+    let healthy = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
+    system.register(0, "i-2", "s", healthy.address, 0);
     assert_eq!(status(&system, "/safe/1"), 200);
     assert_eq!(status(&system, "/safe/1"), 200);
 }
@@ -209,7 +215,7 @@
     assert_eq!(
         one.count_requests() + other.count_requests(),
         2,
-        "a safe one is tried at both"
+        "a safe request is sent to both upstreams"
     );
 }
 
@@ -233,7 +239,7 @@
     let act = |request: &Message| match request.headers.get("last-event-id").map(String::as_str) {
         None => Reaction::RespondAndClose(events(request, &FIRST, false)),
         Some("2") => Reaction::Respond(events(request, &REST, true)),
-        Some(other) => panic!("taken up behind {other}"),
+        Some(other) => panic!("resumed after {other}"),
     };
     let (one, other) = (Upstream::start(act), Upstream::start(act));
     system.register(0, "i-1", "s", one.address, 0);
@@ -244,7 +250,7 @@
 }
 
 #[test]
-fn a_stream_that_cannot_be_taken_up_does_not_look_complete() {
+fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
     let system = system();
     let mut route = route("stream", "/stream/", "streaming");
     route["resumable"] = false.into();
@@ -299,7 +305,7 @@
 }
 
 #[test]
-fn settings_that_change_are_read_again_and_those_at_fault_change_nothing() {
+fn changed_settings_are_reloaded_and_invalid_settings_change_nothing() {
     let system = system();
     system.front_process(0).wait_for("front_started");
     system.rewrite_settings("front-0", |settings| {
@@ -320,8 +326,8 @@
 
 #[test]
 fn invalid_settings_are_reported_with_their_paths() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("node.json");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("node.json");
     std::fs::write(
         &path,
         r#"{ "node": "n", "ip": "10.0.0", "unknown": 1, "zone": 5 }"#,
@@ -334,13 +340,13 @@
         .unwrap();
     assert!(!output.status.success());
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    for place in [
+    for error in [
         "ip: ",
         "zone: must be a string",
         "region: is missing",
         "ephemeral_ports: ",
     ] {
-        assert!(text.contains(place), "{place} is not in {text}");
+        assert!(text.contains(error), "{error} is not in {text}");
     }
     assert!(!text.contains("unknown"));
 }
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams that break. What an upstream can have run decides what the balancer owes: work that never ran
-//! is sent again, unsafe work that may have run fails, keyed work is repeated.
+//! Tests of broken upstream connections. The balancer must retry a request that was certainly not executed, must fail a
+//! non-idempotent request that may have been executed, and must retry a request with an idempotency key.
 
 mod common;
 
@@ -13,14 +13,14 @@
 use woadstall_mock_servers::http1::*;
 use woadstall_mock_servers::stalled_listener::StalledListener;
 
-/// An upstream that handles each connection as it is told, and tells how many there were.
-fn raw(handle: impl Fn(TcpStream) + Send + 'static) -> (SocketAddr, Receiver<()>) {
+/// Starts an upstream that passes each connection to `handle`; the receiver gets one message per connection.
+fn raw_upstream(handle: impl Fn(TcpStream) + Send + 'static) -> (SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, connected) = channel();
+    let (notify, connected) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            tell.send(()).ok();
+            notify.send(()).ok();
             handle(stream);
         }
     });
@@ -33,19 +33,19 @@
         .unwrap();
 }
 
-/// Reads a request to its end.
+/// Reads a complete request.
 fn read_request(stream: &mut TcpStream) {
     Message::read(&mut BufReader::new(stream)).expect("a request");
 }
 
-/// A program with two upstreams, of which the test judges by the second.
+/// A program with two upstreams: a faulty one, and a second one that counts its requests.
 struct Pair {
     program: Program,
     second: Upstream,
 }
 
 impl Pair {
-    /// Both are listed: calls go to either, in turn.
+    /// Starts the program with both upstreams in its list, so that calls alternate between them.
     fn start(first: SocketAddr) -> Self {
         let second = Upstream::start(|_| Reaction::Respond(ok_response("second")));
         let list = [
@@ -61,7 +61,7 @@
     }
 }
 
-/// Two calls go to both of them in turn; the bodies are of this size. Returns how many were served.
+/// Makes two calls, which go to the two upstreams in turn; returns the number of successful calls.
 fn served_of_two(pair: &Pair, class: &str, body: &str) -> usize {
     let call = |_| {
         pair.program
@@ -73,32 +73,37 @@
     (0..2).map(call).filter(|status| *status == 200).count()
 }
 
-/// A request may have run at an upstream that handles its connections so: unsafe work fails, keyed work is repeated.
-fn may_have_run(handle: impl Fn(TcpStream) + Clone + Send + 'static) {
+/// Asserts that the balancer treats a request as possibly executed if an upstream handles its connections with `handle`:
+/// a non-idempotent request fails, and a request with an idempotency key is retried.
+fn assert_possibly_executed(handle: impl Fn(TcpStream) + Clone + Send + 'static) {
     for (class, served) in [("post", 1), ("pay", 2)] {
-        let (first, connected) = raw(handle.clone());
+        let (first, connected) = raw_upstream(handle.clone());
         let pair = Pair::start(first);
         assert_eq!(served_of_two(&pair, class, ""), served, "{class}");
         connected
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the first one was tried");
+            .expect("the first upstream got a connection");
         assert_eq!(pair.second.count_requests(), served, "{class}");
     }
 }
 
-/// Nothing is written to a connection, if it comes up at all within this time.
-fn nothing_comes(late: &mut StalledListener, within: Duration) {
+/// Asserts that the balancer writes nothing to a connection, if it establishes one within the time `within`.
+fn assert_nothing_written(late: &mut StalledListener, within: Duration) {
     if let Some(mut stream) = late.accept(within) {
-        let mut came = Vec::new();
-        stream.read_to_end(&mut came).unwrap_or(0);
-        assert!(came.is_empty(), "{}", String::from_utf8_lossy(&came));
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).unwrap_or(0);
+        assert!(
+            received.is_empty(),
+            "{}",
+            String::from_utf8_lossy(&received)
+        );
     }
 }
 
-/// The connection breaks while the request is written: it never ran.
+/// The connection breaks while the balancer writes the request, so the request was not executed.
 #[test]
 fn a_reset_before_the_last_byte_never_ran() {
-    let (first, connected) = raw(|mut stream| {
+    let (first, connected) = raw_upstream(|mut stream| {
         stream.read_exact(&mut [0; 256]).unwrap();
         reset(&stream);
     });
@@ -107,41 +112,43 @@
     assert_eq!(
         served_of_two(&pair, "post", &body),
         2,
-        "unsafe work is sent again"
+        "a non-idempotent request is retried"
     );
     connected
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the first one was tried");
+        .expect("the first upstream got a connection");
     assert_eq!(pair.second.count_requests(), 2);
 }
 
-/// The connection breaks behind the request's last byte: it may have run.
+/// The connection breaks after the last byte of the request, so the request may have been executed.
 #[test]
-fn a_reset_behind_the_last_byte_may_have_run() {
-    may_have_run(|mut stream| {
+fn a_reset_after_the_last_byte_may_have_run() {
+    assert_possibly_executed(|mut stream| {
         read_request(&mut stream);
         reset(&stream);
     });
 }
 
-/// An answer whose end is that of its connection, and a reset instead of that end, with all of it written before.
+/// The end of the connection delimits the response, and the upstream resets the connection after the last byte. The
+/// balancer must treat the response as truncated.
 #[test]
 fn a_reset_is_not_the_end_of_a_response() {
-    may_have_run(|mut stream| {
+    assert_possibly_executed(|mut stream| {
         read_request(&mut stream);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\n\r\na part of it")
             .unwrap();
-        // Until the other side has it, a reset would take it back.
+        // Waits until the balancer has received the bytes, since a reset discards bytes in transit.
         std::thread::sleep(Duration::from_millis(100));
         reset(&stream);
     });
 }
 
-/// The same with an answer that is passed on as it comes: its caller can tell that it is not whole.
+/// A large response is forwarded while it arrives. After a reset by the upstream, the client must be able to detect the
+/// truncation.
 #[test]
 fn a_reset_is_not_the_end_of_a_large_response() {
-    let (first, _connected) = raw(|mut stream| {
+    let (first, _connected) = raw_upstream(|mut stream| {
         read_request(&mut stream);
         let head = "HTTP/1.1 200 OK\r\n\r\n";
         stream
@@ -159,17 +166,18 @@
     assert!(caller.read_chunked_body().is_none());
 }
 
-/// A connection that comes up after its time: the attempt went elsewhere, and nothing is written to it.
+/// After the connect timeout, the attempt goes to another upstream; the balancer must write nothing to the late
+/// connection.
 #[test]
 fn a_connection_established_too_late_is_not_written_to() {
     let mut late = StalledListener::start();
     let pair = Pair::start(late.address());
     assert_eq!(served_of_two(&pair, "post", "b"), 2);
     assert_eq!(pair.second.count_requests(), 2);
-    nothing_comes(&mut late, Duration::from_secs(3));
+    assert_nothing_written(&mut late, Duration::from_secs(3));
 }
 
-/// Told to drain while a connection to it comes up: nothing is written to it.
+/// An upstream begins to drain while the balancer connects to it; the balancer must write nothing to the connection.
 #[test]
 fn no_attempt_begins_at_an_upstream_that_drains_while_connecting() {
     let mut late = StalledListener::start();
@@ -189,24 +197,24 @@
         target("s-late", late.address(), "terminating"),
         target("s-other", other.address, "in_service"),
     ]);
-    nothing_comes(&mut late, Duration::from_secs(8));
+    assert_nothing_written(&mut late, Duration::from_secs(8));
     assert_eq!(caller.read_response().expect("an answer").body, b"other");
 }
 
-/// An upstream whose answers carry more than belongs to them, and then one that answers a request twice: its second answer
-/// crosses the next request on that connection.
-fn answering_twice() -> SocketAddr {
+/// Starts an upstream that violates the protocol: the first response carries surplus bytes, and on later connections a
+/// duplicate response to the previous request crosses the next request.
+fn duplicating_upstream() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-            std::thread::spawn(move || twice(number, stream));
+            std::thread::spawn(move || respond_with_duplicates(number, stream));
         }
     });
     address
 }
 
-fn twice(number: usize, stream: TcpStream) {
+fn respond_with_duplicates(number: usize, stream: TcpStream) {
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     for before in 0.. {
@@ -225,33 +233,34 @@
     }
 }
 
-/// Once an upstream was seen to break the protocol, a connection rests before its next request: what comes meanwhile is
-/// taken for no answer.
+/// After a protocol violation by an upstream, the balancer must keep a connection idle for a while before its next
+/// request, and must not use bytes that arrive meanwhile as a response.
 #[test]
 fn a_second_response_is_not_taken_for_that_of_the_next_request() {
-    const REST: Duration = Duration::from_millis(20);
+    const IDLE_TIME: Duration = Duration::from_millis(20);
     let program = Program::start(&config(
         refused_address(),
-        &[target("s-0", answering_twice(), "in_service")],
+        &[target("s-0", duplicating_upstream(), "in_service")],
     ));
     let mut caller = program.connect();
     assert_eq!(
         caller.call("post", LONG_BUDGET, "first").unwrap().body,
         b"first"
     );
-    // On a machine too busy to ask again within the rest, a try tells nothing.
-    let judged = (0..200).any(|_| {
-        std::thread::sleep(REST * 2); // all connections have rested, and are closed by their second answers in turn
-        let asked = Instant::now();
+    // On a busy machine, the second call may come after the idle time; such an attempt is inconclusive.
+    let is_conclusive = (0..200).any(|_| {
+        // After this time, all connections have been idle long enough, and their duplicate responses close them in turn.
+        std::thread::sleep(IDLE_TIME * 2);
+        let started = Instant::now();
         let one = caller.call("post", LONG_BUDGET, "one").unwrap();
         let two = caller.call("post", LONG_BUDGET, "two").unwrap();
-        let judged = asked.elapsed() < REST;
+        let is_conclusive = started.elapsed() < IDLE_TIME;
         assert!(
-            !judged || two.body == b"two",
+            !is_conclusive || two.body == b"two",
             "{}",
             String::from_utf8_lossy(&two.body)
         );
-        judged && one.body == b"one"
+        is_conclusive && one.body == b"one"
     });
-    assert!(judged, "no try was fast enough");
+    assert!(is_conclusive, "no attempt was fast enough");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire by the documented byte examples, both directions, and the adapter on bad input.
+//! Tests of the wire protocol against the documented byte examples in both directions, and of the adapter on invalid
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -279,7 +280,8 @@
 
 #[test]
 fn adapter_resolves_reused_list_numbers_in_order() {
-    // Two instances, one list number: each holds what the number meant when it was announced.
+    // Two instances use the same list number: each instance must keep the list that the number denoted when the instance
+    // received it.
     let mut tail = SETTINGS.as_bytes().to_vec();
     let at = tail.len() as u32;
     for server in ["01000000", "02000000"] {
@@ -388,10 +390,10 @@
 }
 
 #[test]
-fn legal_oddities_do_no_harm() {
+fn unusual_valid_records_do_no_harm() {
     let mut tail = SETTINGS.as_bytes().to_vec();
     let at = tail.len() as u32;
-    tail.extend(hex("01000000 01 0000 0000 01 0000c07f 0000000000000000")); // a size that is no number
+    tail.extend(hex("01000000 01 0000 0000 01 0000c07f 0000000000000000")); // a size that is NaN
     let le = |value: u32| {
         value
             .to_le_bytes()
@@ -406,13 +408,13 @@
         "01 03000000 01000000 01000000 01",
         &table,
         "01 03000000 02000000 00000000 00",
-        "06 03000000 4d00000000000000", // a timer long forgotten
-        "05 03000000 192b6f0e",         // a client nobody knows
-        "04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 00", // an outcome nobody awaits
-        "07 03000000 f211902c 00 c05c150000000000 00", // a probe nobody sent
+        "06 03000000 4d00000000000000", // an unknown timer
+        "05 03000000 192b6f0e",         // an unknown client
+        "04 03000000 c4913a5d a0491a0100000000 00 00 074a1203 00 00", // an outcome without a pending attempt
+        "07 03000000 f211902c 00 c05c150000000000 00", // a result without a pending probe
         "02 03000000 09000000 0000000000000000 00000000 6300 001c4e0e00000000", // a class out of range
         "02 03000000 0a000000 0000000000000000 63000000 0000 001c4e0e00000000", // a tenant out of range
-        "06 09000000 4d00000000000000", // an instance nobody started
+        "06 09000000 4d00000000000000", // an unknown instance
     ];
     let output = run_adapter(&batch(&records, &tail));
     assert!(
@@ -496,7 +498,7 @@
             "{text}: {error}"
         );
         assert_eq!(error.lines().count(), 1, "{error}");
-        // Cut inside its header, a batch has no number yet.
+        // A batch that is truncated inside its header has no sequence number, so the error cannot name it.
         assert!(
             input.len() < BATCH_HEADER || error.contains("batch "),
             "{text}: {error}"
