--- a/tests/coordination_soak/client.rs
+++ b/tests/coordination_soak/client.rs
@@ -304,7 +304,7 @@
     }
 
     /// Acquires a lock, renews the lease between other calls, and then either releases the lock or
-    /// leaves the lease to expire, like a client that crashes.
+    /// lets the lease expire, like a client that crashes.
     fn use_lock(&mut self) {
         let lock = format!("l{}", self.random.u8(0..LOCKS));
         let path = format!("/v1/locks/{lock}");
--- a/tests/coordination_soak/faults.rs
+++ b/tests/coordination_soak/faults.rs
@@ -113,7 +113,8 @@
         } else if self.disturbed.len() >= MAX_DISTURBED
             || self.disturbed.iter().any(is_disturbed(core))
         {
-            self.run.note_fault("none");
+            self.run
+                .note_fault("skipped: the server or too many servers are already under a fault");
         } else {
             match kind {
                 0..=3 => self.terminate(core),
@@ -161,7 +162,8 @@
     /// SIGHUP.
     fn reload(&mut self, core: u8) {
         if self.status(core).is_none() {
-            self.run.note_fault("no reload before a process is up");
+            self.run
+                .note_fault("skipped: no reload of a server that does not answer");
             return;
         }
         self.run.note_fault(&format!("SIGHUP core-{core}"));
@@ -176,10 +178,12 @@
         self.system.core_process(core).signal("HUP");
     }
 
-    /// Kills a server and deletes its data, unless the group is still replacing another lost disk.
+    /// Kills a server and deletes its data. Skips the fault if the group is not stable, since it may still be
+    /// replacing another lost disk.
     fn lose_disk(&mut self, core: u8) {
         if !self.is_stable() {
-            self.run.note_fault("no disk is lost while one is replaced");
+            self.run
+                .note_fault("skipped: no loss of a disk while the group is not stable");
             return;
         }
         self.kill(core);
@@ -230,8 +234,9 @@
         true
     }
 
-    /// Returns whether no server is under a fault, and all servers agree on the leader, the number of
-    /// voters and the quorum.
+    /// Returns whether the group is complete: no server is under a fault, all servers agree on the leader and
+    /// are in the quorum, and the voters listed by each server are as many as the voters that run with their
+    /// disk.
     fn is_stable(&self) -> bool {
         if !self.disturbed.is_empty() {
             return false;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -559,7 +559,7 @@
 }
 
 /// Guards against a SIGHUP that ends the program, and against a comparison of list versions between two discovery
-/// services, whose versions are independent.
+/// services, whose versions are unrelated and may be equal by chance.
 #[test]
 fn follows_another_discovery_after_a_hangup() {
     let (old, new) = (
