--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -86,6 +86,21 @@
     String::from_utf8(program.call("look").body).unwrap()
 }
 
+fn assert_invalid_commands_are_rejected(admin: &Operators) {
+    let (is_accepted, text) = run_domain_command(admin, &["zone", "leave", "c"]);
+    assert!(!is_accepted && text.contains("no zone c"), "{text}");
+    let (is_accepted, text) = run_domain_command(admin, &["nodo", "leave", "a/b"]);
+    assert!(
+        !is_accepted && text.contains("is no name of a nodo"),
+        "{text}"
+    );
+    let (is_accepted, text) = run_domain_command(admin, &["zone", "leave", "a", "--for", "soon"]);
+    assert!(!is_accepted && text.contains("--for"), "{text}");
+    assert_eq!(admin.post("/control/places/leave/zone/a").status(), 400);
+    assert_eq!(admin.post("/control/places/burn/zone/a/10").status(), 400);
+    assert_eq!(admin.get("/control/places/leave/zone/a/10").status(), 404);
+}
+
 #[test]
 fn an_order_at_one_balancer_is_followed_by_all() {
     let directory = directory("words");
@@ -148,18 +163,7 @@
         zone_of(&second) == "a" && zone_of(&first) == "a"
     });
 
-    let (is_accepted, text) = run_domain_command(&admin, &["zone", "leave", "c"]);
-    assert!(!is_accepted && text.contains("no zone c"), "{text}");
-    let (is_accepted, text) = run_domain_command(&admin, &["nodo", "leave", "a/b"]);
-    assert!(
-        !is_accepted && text.contains("is no name of a nodo"),
-        "{text}"
-    );
-    let (is_accepted, text) = run_domain_command(&admin, &["zone", "leave", "a", "--for", "soon"]);
-    assert!(!is_accepted && text.contains("--for"), "{text}");
-    assert_eq!(admin.post("/control/places/leave/zone/a").status(), 400);
-    assert_eq!(admin.post("/control/places/burn/zone/a/10").status(), 400);
-    assert_eq!(admin.get("/control/places/leave/zone/a/10").status(), 404);
+    assert_invalid_commands_are_rejected(&admin);
     std::fs::remove_dir_all(directory).unwrap();
 }
 
