--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -53,8 +53,8 @@
     pub time_left: Duration,
     /// Approximate work of the request, in nanoseconds; `None` if unknown.
     pub work: Option<Duration>,
-    /// Maximum number of attempts, in addition to the limit of the settings; 1 if the request
-    /// cannot be sent again.
+    /// Maximum number of attempts for this request; 1 if it cannot be sent again. The lower of this
+    /// limit and [`super::Settings::max_attempts`] applies.
     pub max_attempts: u32,
 }
 
@@ -67,7 +67,7 @@
     pub outcome: Outcome,
     /// Time since the attempt was sent, in nanoseconds.
     pub elapsed: Duration,
-    /// Whether the request has its final response.
+    /// Whether the request has its final response, or its client has disconnected.
     pub closed: bool,
     /// Load report that came with the response, if any.
     pub load: Option<LoadReport>,
@@ -76,7 +76,7 @@
 /// A part of the fleet that can fail as a whole, as the subject of health evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FailureDomain {
-    /// A zone, or only the calls of one class, given by position, to the zone.
+    /// A zone. If the position of a class is given, only the calls of that class to the zone.
     Zone(ZoneId, Option<usize>),
     /// The current process of a server.
     Server(ServerId),
--- a/crates/decisions/src/api/mod.rs
+++ b/crates/decisions/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! Interface of the decision engine: settings, events and actions.
+//! Interface of the decision module: settings, events and actions.
 //!
 //! These types contain no decision logic and depend on no wire format. All times are nanoseconds of
 //! one monotonic clock with an arbitrary start.
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -81,8 +81,8 @@
     pub propagates_deadline: bool,
     /// Whether discovery sends changes only to balancers that have subscribed.
     pub subscribes_to_discovery: bool,
-    /// Time after which a balancer without a subscription counts as notified of a listed change, in
-    /// nanoseconds.
+    /// Time after a change of the server list at which a balancer counts as notified of the change
+    /// even if it has not subscribed, in nanoseconds.
     pub subscribe_within: Duration,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
@@ -169,7 +169,7 @@
         self.classes
             .iter()
             .enumerate()
-            .try_for_each(|(at, class)| class.check(at))?;
+            .try_for_each(|(position, class)| class.check(position))?;
         let is_invalid = |tenant: &Tenant| !is_finite_and_not_negative(tenant.quota_rps);
         if let Some(tenant) = self.tenants.iter().position(is_invalid) {
             let value = self.tenants[tenant].quota_rps;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decision engine of woadstall's layer-7 load balancer: server selection, retries and rejection of
+//! Decision module of woadstall's layer-7 load balancer: server selection, retries and rejection of
 //! requests.
 //!
-//! The engine is shared by the daemon, the plug-in and the simulator's adapter. It does no I/O and
+//! The module is shared by the daemon, the plug-in and the simulator's adapter. It does no I/O and
 //! reads no clock: the host passes in events with their times and carries out the returned actions.
 //!
 //! - [`api`] is the interface: settings, events and actions.
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -36,7 +36,8 @@
 
 /// Number of samples from which a latency or a response rate is trusted.
 pub(crate) const MIN_SAMPLES: u32 = 10;
-/// Weight of a new outcome in the averages: about the calls of one second at a small balancer.
+/// Weight of a new outcome in the averages. They then span about the calls of one second at a small
+/// balancer.
 pub(crate) const OUTCOME_GAIN: f64 = 0.05;
 /// The baseline falls towards the mean much faster than it rises, so that congestion does not
 /// become the new baseline.
@@ -56,7 +57,8 @@
 pub(crate) const HEALTH_DECAY: Duration = 10 * SECOND;
 /// Window over which call rates are averaged: a few calls at the smallest balancer.
 pub(crate) const RATE_WINDOW: Duration = 5 * SECOND;
-/// Time over which the proven rate of a zone is averaged, counted only while it responds.
+/// Time over which the proven rate of a zone is averaged. Only the time in which the zone responds
+/// counts.
 pub(crate) const PROVEN_RATE_SPAN: Duration = 60 * SECOND;
 
 // ---- Zones ----
@@ -79,8 +81,8 @@
     deviations: 3.0,
     min_in_flight: 4.0,
 };
-/// Part of a zone's servers that have tripped, or of its calls that fail, from which the zone is
-/// not used. The remaining servers would have to handle all calls of the zone.
+/// Part of a zone's servers whose breakers have tripped, or part of its calls that fail, from which
+/// the zone is not used. The remaining servers would have to handle all calls of the zone.
 pub(crate) const BLACKOUT_THRESHOLD: f64 = 0.5;
 /// Failure rate above which the local zone is left; the cost of crossing zones is added to it, so
 /// that a crossing gains more than it costs. Breakers alone do not suffice, since a balancer with
@@ -104,30 +106,32 @@
 
 // ---- Round robin ----
 
-/// Proposals per pick before the fallback is used, as in Ribbon's availability-filtering rule.
+/// Number of servers that the round robin proposes per pick before it takes a fallback, as in
+/// Ribbon's availability-filtering rule.
 pub(crate) const MAX_PROPOSALS: u32 = 10;
-/// Rounds through a pool per pick in which proposals are searched.
+/// Maximum number of rounds through a pool in which a pick looks for servers to propose.
 pub(crate) const MAX_ROUNDS: usize = 4;
 /// Multiple of its share of the calls in flight without load at which a server is overloaded.
 pub(crate) const SERVER_OVERLOAD_RATIO: f64 = 1.2;
-/// Power of a server's success rate in its turn weight. A server that fails half of its calls at
-/// random rarely trips its breaker if each balancer calls it once per second.
+/// Exponent of a server's success rate in its turn weight. The weight has to reduce the calls to a
+/// server that fails half of them at random, because such a server rarely trips its breaker if each
+/// balancer calls it once per second.
 pub(crate) const SUCCESS_RATE_POWER: i32 = 4;
 /// Excess of a server's failure rate over that of all calls above which calls that must not run
-/// twice avoid the server. Other calls find out when it has recovered.
+/// twice avoid the server. Other calls are still sent to it and show when it has recovered.
 pub(crate) const MAX_EXCESS_FAILURE_RATE: f64 = 0.1;
 /// Lower bound of a server's slowness in its turn weight, because a few calls are no reliable
 /// measurement. At this bound a server has four turns for each turn of a server at the mean, which
 /// [`MAX_ROUNDS`] allows for.
 pub(crate) const MIN_SLOWNESS: f64 = 0.5;
-/// Factor by which the best weight of a pool decays with each proposal, so that it is the best of
-/// some hundred proposals.
+/// Factor by which the highest turn weight of a pool decays with each server that is considered for
+/// a turn, so that it is the highest weight of the last several hundred servers considered.
 pub(crate) const BEST_WEIGHT_DECAY: f64 = 0.999;
 
 // ---- Slow start ----
 
-/// Part of the multiple that overloads a server in slow start which is considered safe to send
-/// beyond its proven rate.
+/// Part of the multiple that overloads a server in slow start by which the proven rate may safely
+/// be multiplied.
 pub(crate) const SAFE_OVERLOAD_PART: f64 = 0.6;
 /// Interval at which the warm size of all servers is updated.
 pub(crate) const WARM_SIZE_INTERVAL: Duration = SECOND / 10;
@@ -167,7 +171,7 @@
 /// Successes in a row that reset the backoff of a breaker.
 pub(crate) const BACKOFF_RESET_SUCCESSES: u32 = 10;
 
-// ---- Time-outs ----
+// ---- Timeouts ----
 
 /// Mean deviations above the mean latency at which an attempt is late. A late attempt counts in the
 /// latency of its server, but not in that of its class.
@@ -204,7 +208,8 @@
 /// Minimum time without use after which a connection counts as idle. Middleboxes that drop idle
 /// connections wait longer than a round trip.
 pub(crate) const MIN_IDLE: Duration = SECOND / 4;
-/// Weight of an attempt in the failure rate of its idle step.
+/// Weight of an attempt in the failure rate of the idle step of its connection, which is a range of
+/// idle times (see [`crate::state::IdleRisk`]).
 pub(crate) const IDLE_RISK_GAIN: f64 = 0.3;
 /// Decay time of the failure rates of idle steps.
 pub(crate) const IDLE_RISK_DECAY: Duration = 30 * SECOND;
@@ -252,7 +257,8 @@
 /// is fixed.
 pub(crate) const SUBSCRIBE_SPACING: Duration = SECOND / 10;
 /// Delay before a failed subscription is retried. A balancer counts as notified of a change 6 s
-/// after discovery had it, and two calls of 2 s with their delays have to fit into that time.
+/// after discovery had it, and two calls to discovery of 2 s each, with their delays, have to fit
+/// into that time.
 pub(crate) const SUBSCRIBE_BACKOFF: Backoff = Backoff {
     initial: SECOND,
     max: 2 * SECOND,
