--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -37,7 +37,7 @@
     /// Latency of a call divided by the calls in flight at its server, in nanoseconds.
     pub(crate) latency_per_in_flight: LatencyEstimate,
     pub(crate) responses: DecayingSum,
-    /// Accepted calls; the only source for the call rate until `startup_until`.
+    /// Accepted calls, which are also a source of the call rate until `startup_until`.
     pub(crate) accepted: DecayingSum,
     pub(crate) startup_until: Time,
     /// Part of all calls that fail, from 0 to 1.
@@ -47,8 +47,9 @@
     pub(crate) idle_risk: IdleRisk,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) load: LoadMeter,
-    /// Whether the last call found the local zone unusable.
-    pub(crate) local_zone_left: bool,
+    /// Whether the last call found the local zone unusable. Calls then leave the zone, unless the
+    /// fleet's health evidence sets its share of the traffic.
+    pub(crate) has_left_local_zone: bool,
     /// Whether the last request found the shed level above 0.
     pub(crate) is_shedding: bool,
     pub(crate) log_throttle: LogThrottle,
@@ -87,7 +88,7 @@
             idle_risk: IdleRisk::default(),
             retry_budget: RetryBudget::full(),
             load: LoadMeter::new(settings.classes.len(), settings.tenants.len()),
-            local_zone_left: false,
+            has_left_local_zone: false,
             is_shedding: false,
             log_throttle: LogThrottle::default(),
             subscription_failures: None,
@@ -151,11 +152,11 @@
         self.load
             .tenant_calls
             .resize(settings.tenants.len(), DecayingSum::default());
-        let compared = self
+        let waiting_for_reports = self
             .comparisons
             .values_mut()
             .map(|comparison| &mut comparison.request);
-        for request in self.requests.values_mut().chain(compared) {
+        for request in self.requests.values_mut().chain(waiting_for_reports) {
             request.max_attempts = request.max_attempts.min(settings.max_attempts);
         }
         self.settings = settings;
@@ -164,7 +165,9 @@
 
     /// Number of servers that are ready but ejected by their circuit breakers.
     pub fn ejected_servers(&self) -> usize {
-        self.pools.last().map_or(0, |all| all.tripped)
+        self.pools
+            .last()
+            .map_or(0, |all_servers| all_servers.tripped)
     }
 
     /// Logs an event, unless one of its kind was logged within the last log interval.
--- a/crates/decisions/src/log.rs
+++ b/crates/decisions/src/log.rs
@@ -11,7 +11,7 @@
     SubscriptionFailed { failures: u32 },
     /// Calls began to leave the local zone, or to use it again.
     LocalZone {
-        left: bool,
+        has_left: bool,
         healthy: usize,
         servers: usize,
         in_flight: u32,
@@ -44,13 +44,17 @@
                 write!(f, "subscription_failed consecutive_failures={failures}")
             }
             Self::LocalZone {
-                left,
+                has_left,
                 healthy,
                 servers,
                 in_flight,
                 failure_rate,
             } => {
-                let event = if left { "zone_left" } else { "zone_used_again" };
+                let event = if has_left {
+                    "zone_left"
+                } else {
+                    "zone_used_again"
+                };
                 write!(f, "{event} healthy={healthy} servers={servers} ")?;
                 write!(f, "in_flight={in_flight} failure_rate={failure_rate:.2}")
             }
--- a/crates/decisions/src/measurement/failures.rs
+++ b/crates/decisions/src/measurement/failures.rs
@@ -30,10 +30,10 @@
     /// all servers and does not count against any one of them.
     pub(crate) fn excess_failure_rate(&self, index: ServerIndex, deviations: f64) -> f64 {
         let rate = self.failure_rate;
-        let chance = SERVER_FAILURE_GAIN / (2.0 - SERVER_FAILURE_GAIN) * rate * (1.0 - rate);
-        let usual = rate + deviations * chance.max(0.0).sqrt();
-        let own = self.servers[index].failure_rate.get(self.now, HEALTH_DECAY);
-        (own - usual).clamp(0.0, 1.0)
+        let variance = SERVER_FAILURE_GAIN / (2.0 - SERVER_FAILURE_GAIN) * rate * (1.0 - rate);
+        let max_usual_rate = rate + deviations * variance.max(0.0).sqrt();
+        let server_rate = self.servers[index].failure_rate.get(self.now, HEALTH_DECAY);
+        (server_rate - max_usual_rate).clamp(0.0, 1.0)
     }
 
     /// Ejects a server or readmits it, and updates the count of tripped members in its pools.
--- a/crates/decisions/src/measurement/latency.rs
+++ b/crates/decisions/src/measurement/latency.rs
@@ -42,13 +42,13 @@
         index: ServerIndex,
         end: &AttemptEnd,
     ) {
-        let least = match end.outcome {
+        let min_latency = match end.outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::Timeout => 0.0,
             Outcome::Full => 1.0,
             _ => return,
         };
         let target = self.settings.classes[class].latency_target.max(1) as f64;
-        let latency = (end.elapsed as f64 / target).max(least);
+        let latency = (end.elapsed as f64 / target).max(min_latency);
         let is_warm = self.warmth(index) >= 1.0;
         let zone = self.servers[index].zone;
         let (now, gain) = (self.now, RELATIVE_LATENCY_GAIN);
--- a/crates/decisions/src/measurement/load.rs
+++ b/crates/decisions/src/measurement/load.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Duration;
 use crate::balancer::Balancer;
-use crate::state::{InFlight, ServerIndex, WorkedOn, pools_of};
+use crate::state::{InFlightChange, ServerIndex, WorkedOn, pools_of};
 use crate::tuning::{
     MAX_RESPONSE_WINDOW_TARGETS, MIN_RESPONSE_WINDOW, MIN_SAMPLES, RATE_WINDOW, SECOND,
 };
@@ -47,21 +47,21 @@
             .classes
             .iter()
             .map(|class| class.latency_target);
-        let longest = targets
+        let max_by_targets = targets
             .max()
             .unwrap_or(0)
             .saturating_mul(MAX_RESPONSE_WINDOW_TARGETS);
-        let most = longest.clamp(MIN_RESPONSE_WINDOW, RATE_WINDOW);
+        let max_window = max_by_targets.clamp(MIN_RESPONSE_WINDOW, RATE_WINDOW);
         let rate = self.responses.per_second(self.now, RATE_WINDOW).max(1.0);
         let window = (f64::from(MIN_SAMPLES) / rate * SECOND as f64) as Duration;
-        window.clamp(MIN_RESPONSE_WINDOW, most)
+        window.clamp(MIN_RESPONSE_WINDOW, max_window)
     }
 
     /// Updates the calls in flight of a server and its pools when an attempt begins or ends.
-    pub(crate) fn count_in_flight(&mut self, index: ServerIndex, change: InFlight) {
+    pub(crate) fn count_in_flight(&mut self, index: ServerIndex, change: InFlightChange) {
         let count = |count: &mut u32| match change {
-            InFlight::Begins => *count += 1,
-            InFlight::Ends => *count = count.saturating_sub(1),
+            InFlightChange::Begins => *count += 1,
+            InFlightChange::Ends => *count = count.saturating_sub(1),
         };
         let server = &mut self.servers[index];
         count(&mut server.in_flight);
--- a/crates/decisions/src/measurement/warmth.rs
+++ b/crates/decisions/src/measurement/warmth.rs
@@ -5,8 +5,8 @@
 use crate::tuning::{RATE_WINDOW, WARM_SIZE_INTERVAL};
 
 impl Balancer {
-    /// Part of its capacity that a server has reached at least, from 0 to 1. A server may warm up
-    /// faster than this, but not slower.
+    /// Lower bound of the part of its capacity that a server has reached, from 0 to 1. A server may
+    /// warm up faster than this, but not slower.
     pub(crate) fn warmth(&self, index: ServerIndex) -> f64 {
         let Some(started) = self.servers[index].started_at else {
             return 1.0;
@@ -19,15 +19,15 @@
 
     /// Updates the warm size of the pool of all servers, at most once per [`WARM_SIZE_INTERVAL`].
     pub(crate) fn update_warm_size(&mut self) {
-        let all = &self.pools[self.settings.zones];
-        if self.now < all.warm_size_at.saturating_add(WARM_SIZE_INTERVAL) {
+        let all_servers = &self.pools[self.settings.zones];
+        if self.now < all_servers.warm_size_at.saturating_add(WARM_SIZE_INTERVAL) {
             return;
         }
         let warm_size = |&index: &ServerIndex| self.servers[index].size * self.warmth(index);
-        let warm_size = all.members.iter().map(warm_size).sum();
-        let all = &mut self.pools[self.settings.zones];
-        all.warm_size = warm_size;
-        all.warm_size_at = self.now;
+        let warm_size = all_servers.members.iter().map(warm_size).sum();
+        let all_servers = &mut self.pools[self.settings.zones];
+        all_servers.warm_size = warm_size;
+        all_servers.warm_size_at = self.now;
     }
 
     /// Estimated calls per second that the servers can handle: the response rate.
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 
 impl Balancer {
-    /// Applies a complete server list or changes of it.
+    /// Applies a complete server list or changes to it.
     pub(crate) fn on_server_list(&mut self, entries: &[ServerEntry], kind: ListKind) {
         if kind == ListKind::Complete {
             self.server_indices
@@ -41,7 +41,7 @@
             1.0
         };
         if entry.started.is_some() && entry.started != server.started_at {
-            self.reset_process(index);
+            self.reset_for_new_process(index);
         }
         self.servers[index].started_at = entry.started;
     }
@@ -49,7 +49,7 @@
     /// Resets the state of a server whose process was replaced, since failures and connections of
     /// the old process do not apply to the new one. The slow-start budget begins at a random value,
     /// so that not all balancers send their first call to the new process at once.
-    fn reset_process(&mut self, index: ServerIndex) {
+    fn reset_for_new_process(&mut self, index: ServerIndex) {
         let server = &mut self.servers[index];
         server.breaker = CircuitBreaker::default();
         server.traffic_share = TrafficShare::default();
@@ -100,8 +100,8 @@
     /// The servers to which pending requests and load comparisons refer.
     fn referenced_servers(&self) -> HashSet<ServerIndex> {
         let comparisons = self.comparisons.values();
-        let compared = comparisons.clone().map(|comparison| &comparison.request);
-        let requests = self.requests.values().chain(compared);
+        let waiting_for_reports = comparisons.clone().map(|comparison| &comparison.request);
+        let requests = self.requests.values().chain(waiting_for_reports);
         let sent = requests
             .flat_map(|request| [request.last_attempt, request.may_have_run])
             .flatten();
--- a/crates/decisions/src/policy/breakers.rs
+++ b/crates/decisions/src/policy/breakers.rs
@@ -50,15 +50,15 @@
     /// Number of failures in a row that trips a breaker. It depends on the failure rate of all
     /// calls, so that the breaker of a server no worse than the others rarely trips by chance.
     fn failures_to_trip(&self, breaker: &CircuitBreaker) -> f64 {
-        let is_new = breaker.consecutive_successes < PROBATION_SUCCESSES;
-        let on_probation = breaker.recent_opens > 0 && is_new;
-        let (chance, least) = if on_probation {
+        let has_few_successes = breaker.consecutive_successes < PROBATION_SUCCESSES;
+        let on_probation = breaker.recent_opens > 0 && has_few_successes;
+        let (chance, min_failures) = if on_probation {
             (FALSE_TRIP_CHANCE_ON_PROBATION, 1.0)
         } else {
             (FALSE_TRIP_CHANCE, MIN_FAILURES_TO_TRIP)
         };
         let failures = chance.ln() / self.failure_rate.clamp(0.001, 0.999).ln();
-        failures.ceil().clamp(least, MAX_FAILURES_TO_TRIP)
+        failures.ceil().clamp(min_failures, MAX_FAILURES_TO_TRIP)
     }
 
     /// Records a success of a server, and closes its breaker.
--- a/crates/decisions/src/policy/load_probes.rs
+++ b/crates/decisions/src/policy/load_probes.rs
@@ -80,7 +80,7 @@
         let Some(&index) = self.server_indices.get(&server) else {
             return;
         };
-        let mut complete = Vec::new();
+        let mut complete_ids = Vec::new();
         for (&id, comparison) in &mut self.comparisons {
             let candidates = comparison.candidates.iter_mut();
             for candidate in candidates.filter(|candidate| candidate.server == index) {
@@ -91,11 +91,11 @@
                 .iter()
                 .all(|candidate| candidate.in_flight.is_some())
             {
-                complete.push(id);
+                complete_ids.push(id);
             }
         }
-        complete.sort();
-        complete
+        complete_ids.sort();
+        complete_ids
             .into_iter()
             .for_each(|id| self.finish_load_comparison(id));
     }
@@ -136,13 +136,13 @@
     }
 
     /// Whether the response is expected after the deadline, given the calls in flight at the
-    /// server. Such a call would delay other calls without benefit where work cannot be cancelled.
+    /// server. Such a call would delay other calls without benefit if its work cannot be cancelled.
     /// Deeper tiers never give up a call for this, because other tiers have already worked on its
     /// request.
     fn is_too_late(&self, request: &PendingRequest) -> bool {
-        let left = request.deadline.saturating_sub(self.now) as f64;
+        let time_left = request.deadline.saturating_sub(self.now) as f64;
         let latency = &self.latency_per_in_flight;
-        let expected = request.probed_in_flight * latency.mean;
-        self.settings.tier == 0 && latency.calls >= MIN_SAMPLES && expected > left
+        let expected_latency = request.probed_in_flight * latency.mean;
+        self.settings.tier == 0 && latency.calls >= MIN_SAMPLES && expected_latency > time_left
     }
 }
--- a/crates/decisions/src/policy/load_shedding.rs
+++ b/crates/decisions/src/policy/load_shedding.rs
@@ -43,22 +43,23 @@
         level
     }
 
-    /// Whether a request belongs to the least valuable `part` of the work. Requests of equal value
-    /// are chosen at random.
-    fn is_least_valuable(&mut self, part: f64, class: usize, tenant: usize) -> bool {
+    /// Whether a request belongs to the least valuable part of the work, which is shed. `shed_part`
+    /// is the size of that part, from 0 to 1. Requests of equal value are chosen at random.
+    fn is_least_valuable(&mut self, shed_part: f64, class: usize, tenant: usize) -> bool {
         let tenants = self.tenant_loads();
-        let own = self.class_value(class) * tenants.get(tenant).map_or(1.0, |tenant| tenant.value);
-        let (mut below, mut same, mut total) = (0.0, 0.0, 0.0);
+        let request_value =
+            self.class_value(class) * tenants.get(tenant).map_or(1.0, |tenant| tenant.value);
+        let (mut less_valuable, mut equally_valuable, mut total) = (0.0, 0.0, 0.0);
         for (other, demand) in self.load.class_demand.iter().enumerate() {
             let (work, value) = (demand.get(self.now, RATE_WINDOW), self.class_value(other));
             for tenant in &tenants {
                 let (work, value) = (work * tenant.share, value * tenant.value);
                 total += work;
-                below += if value < own { work } else { 0.0 };
-                same += if value == own { work } else { 0.0 };
+                less_valuable += if value < request_value { work } else { 0.0 };
+                equally_valuable += if value == request_value { work } else { 0.0 };
             }
         }
-        self.rng.f64() * same < part * total - below
+        self.rng.f64() * equally_valuable < shed_part * total - less_valuable
     }
 
     /// Each tenant's share of the calls, and the part of its value that one of its calls is
@@ -81,22 +82,25 @@
                 .iter()
                 .map(|tenant| tenant.quota_rps.max(f64::MIN_POSITIVE))
         };
-        let (all, quota_of_all) = (calls.iter().sum::<f64>(), quotas().sum::<f64>());
-        if all <= 0.0 {
+        let (total_calls, total_quota) = (calls.iter().sum::<f64>(), quotas().sum::<f64>());
+        if total_calls <= 0.0 {
             return vec![TenantLoad {
                 share: 1.0,
                 value: 1.0,
             }]; // no tenants are configured
         }
         let balancers = f64::from(self.settings.balancers.max(1));
-        let least = RATE_WINDOW as f64 / SECOND as f64 / balancers;
+        let min_calls_per_quota = RATE_WINDOW as f64 / SECOND as f64 / balancers;
         let load = |(calls, quota): (&f64, f64)| {
-            let others = (all - calls) / (quota_of_all - quota).max(f64::MIN_POSITIVE);
-            let within = others.max(least) * quota / calls.max(f64::MIN_POSITIVE);
-            let within = within.min(1.0);
-            let value = within + (1.0 - within) * self.settings.over_quota_value;
+            let others_per_quota =
+                (total_calls - calls) / (total_quota - quota).max(f64::MIN_POSITIVE);
+            let part_within_quota =
+                others_per_quota.max(min_calls_per_quota) * quota / calls.max(f64::MIN_POSITIVE);
+            let part_within_quota = part_within_quota.min(1.0);
+            let value =
+                part_within_quota + (1.0 - part_within_quota) * self.settings.over_quota_value;
             TenantLoad {
-                share: calls / all,
+                share: calls / total_calls,
                 value,
             }
         };
--- a/crates/decisions/src/policy/outcomes.rs
+++ b/crates/decisions/src/policy/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, AttemptEnd, Outcome, RequestId};
 use crate::balancer::Balancer;
-use crate::state::{AttemptDelay, InFlight, PendingRequest, ServerIndex, WorkedOn};
+use crate::state::{AttemptDelay, InFlightChange, PendingRequest, ServerIndex, WorkedOn};
 use crate::tuning::{
     ALIVE_WINDOW, BASELINE_GAIN, LATE_DEVIATIONS, OUTCOME_GAIN, TIMEOUT_DEVIATIONS,
 };
@@ -29,12 +29,12 @@
     }
 
     /// Checks an attempt that has exceeded the usual latency. This detects a slow or hung server
-    /// long before its calls time out: the first check records the latency against the server, the
-    /// second one counts as a failure.
+    /// long before its calls time out: the first check records the latency of the attempt for its
+    /// server, and the second check records a failure of the server.
     pub(crate) fn on_attempt_late(&mut self, token: u64) {
         let id = RequestId(token as u32);
-        let open = |request: &&mut PendingRequest| !request.closed;
-        let Some(request) = self.requests.get_mut(&id).filter(open) else {
+        let is_open = |request: &&mut PendingRequest| !request.closed;
+        let Some(request) = self.requests.get_mut(&id).filter(is_open) else {
             return;
         };
         let is_current = u64::from(request.attempts) == (token >> 32) + 1;
@@ -49,8 +49,8 @@
                 let class = request.class;
                 self.change_pending(-pending);
                 self.record_slowness(sent.server, class, self.now - sent.sent_at);
-                let further = TIMEOUT_DEVIATIONS - LATE_DEVIATIONS;
-                let after = self.class_latencies[class].above_mean(further);
+                let further_deviations = TIMEOUT_DEVIATIONS - LATE_DEVIATIONS;
+                let after = self.class_latencies[class].above_mean(further_deviations);
                 let after = after.max(self.min_timeout(class));
                 self.actions.push(Action::SetTimer { after, token });
             }
@@ -76,7 +76,7 @@
         let Some(sent) = request.last_attempt else {
             return;
         };
-        self.count_in_flight(sent.server, InFlight::Ends);
+        self.count_in_flight(sent.server, InFlightChange::Ends);
         self.servers[sent.server].idle_since = self.now;
         self.close_spare_connections(sent.server);
         self.servers[sent.server].breaker.trial_in_flight &= !request.is_breaker_trial;
@@ -121,10 +121,10 @@
         // A timeout below twice the mean latency is too short even for a healthy server. It is
         // attributed to the caller and does not count as a failure of the server.
         let mean = self.class_latencies[request.class].mean;
-        let is_too_short = (end.elapsed as f64) < 2.0 * mean;
+        let is_timeout_too_short = (end.elapsed as f64) < 2.0 * mean;
         match end.outcome {
             Outcome::Ok => self.record_success(request, index),
-            Outcome::Timeout if request.delay == AttemptDelay::Settled || is_too_short => {}
+            Outcome::Timeout if request.delay == AttemptDelay::Settled || is_timeout_too_short => {}
             // Rejected calls end at once and never add to the calls in flight, so a rejecting
             // server would look idle and get all turns. It counts as overloaded for one baseline
             // latency, the time in which one of its calls can end.
--- a/crates/decisions/src/policy/requests.rs
+++ b/crates/decisions/src/policy/requests.rs
@@ -2,7 +2,9 @@
 
 use crate::api::{Action, Duration, Effect, RequestId, RequestParameters, Time};
 use crate::balancer::Balancer;
-use crate::state::{AttemptDelay, InFlight, PendingRequest, SentAttempt, ServerIndex, WorkedOn};
+use crate::state::{
+    AttemptDelay, InFlightChange, PendingRequest, SentAttempt, ServerIndex, WorkedOn,
+};
 use crate::tuning::{
     LATE_DEVIATIONS, MIN_SAMPLES, MIN_TIMEOUT_PART, PEAK_DECAY, PROBE_TIMEOUT, RATE_WINDOW,
     TIMEOUT_DEVIATIONS,
@@ -44,8 +46,8 @@
         // If a response after the latency target has no value, a longer wait only occupies a slot.
         // A deeper tier that receives no deadline from its caller is limited to the target as well,
         // so that it does not go on with work for a client that has disconnected.
-        let is_deadline_guessed = self.settings.tier > 0 && !self.settings.propagates_deadline;
-        if class.late_value <= 0.0 || is_deadline_guessed {
+        let is_deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if class.late_value <= 0.0 || is_deadline_unknown {
             parameters.time_left.min(target)
         } else {
             parameters.time_left
@@ -60,8 +62,8 @@
             return self.give_up(id, &request);
         };
         // Probing needs enough time before the deadline to receive the load reports and a response.
-        let in_time = self.now.saturating_add(2 * PROBE_TIMEOUT) < request.deadline;
-        if in_time && self.probes_for_load() {
+        let has_time = self.now.saturating_add(2 * PROBE_TIMEOUT) < request.deadline;
+        if has_time && self.probes_for_load() {
             self.start_load_comparison(id, request, selection);
         } else {
             self.send(id, request, selection.server);
@@ -73,7 +75,7 @@
         let (until, begin_by) = (self.attempt_timeout(&request), self.repeat_until(&request));
         self.set_late_timer(id, &request);
         request.idle_step = self.take_connection(index, request.class);
-        self.count_in_flight(index, InFlight::Begins);
+        self.count_in_flight(index, InFlightChange::Begins);
         let is_budgeted = self.has_slow_start_budget(index);
         let (now, server) = (self.now, &mut self.servers[index]);
         server.open_connections = server.open_connections.max(server.in_flight);
@@ -105,18 +107,19 @@
         }
     }
 
-    /// When an attempt times out. A request that may not be repeated, or has no time for a repeat,
-    /// times out only at its deadline, since the attempt may still succeed.
+    /// Time at which an attempt times out. A request that may not be repeated, or has no time for a
+    /// repeat, times out only at its deadline, since the attempt may still succeed.
     fn attempt_timeout(&self, request: &PendingRequest) -> Time {
-        let left = request.deadline.saturating_sub(self.now);
+        let time_left = request.deadline.saturating_sub(self.now);
         let latency = &self.class_latencies[request.class];
         let timeout = latency
             .above_mean(TIMEOUT_DEVIATIONS)
             .max(self.min_timeout(request.class));
-        let attempts_left = request.attempts + 1 < request.max_attempts;
-        let may_repeat = attempts_left && self.is_idempotent(request.class);
-        let in_time = latency.calls >= MIN_SAMPLES && timeout + latency.mean as Duration <= left;
-        if may_repeat && in_time {
+        let has_attempts_left = request.attempts + 1 < request.max_attempts;
+        let may_repeat = has_attempts_left && self.is_idempotent(request.class);
+        let has_time =
+            latency.calls >= MIN_SAMPLES && timeout + latency.mean as Duration <= time_left;
+        if may_repeat && has_time {
             self.now + timeout
         } else {
             request.deadline
@@ -134,8 +137,8 @@
         if let Some(comparison) = self.comparisons.remove(&id) {
             return self.close_pending(comparison.request.target_inverse, WorkedOn::No);
         }
-        let open = |request: &&mut PendingRequest| !request.closed;
-        let Some(request) = self.requests.get_mut(&id).filter(open) else {
+        let is_open = |request: &&mut PendingRequest| !request.closed;
+        let Some(request) = self.requests.get_mut(&id).filter(is_open) else {
             return;
         };
         request.closed = true;
@@ -161,12 +164,12 @@
 
     fn reject_or_fail(&mut self, id: RequestId, request: &PendingRequest) {
         let is_safe = self.settings.classes[request.class].effect == Effect::Safe;
-        let longest = self.settings.max_retry_after;
-        let retry_after = longest / 2 + self.rng.u64(..=longest / 2);
+        let max_retry_after = self.settings.max_retry_after;
+        let retry_after = max_retry_after / 2 + self.rng.u64(..=max_retry_after / 2);
         let is_harmless = is_safe || request.may_have_run.is_none();
-        let rejected = Action::Reject { id, retry_after };
+        let reject = Action::Reject { id, retry_after };
         self.actions.push(if is_harmless {
-            rejected
+            reject
         } else {
             Action::Fail(id)
         });
--- a/crates/decisions/src/policy/retries.rs
+++ b/crates/decisions/src/policy/retries.rs
@@ -6,11 +6,11 @@
 use crate::tuning::RETRY_DEPOSIT;
 
 impl Balancer {
-    /// Whether a request is attempted again after its last attempt ended with the outcome `ended`.
+    /// Whether a request is attempted again after its last attempt ended with `outcome`.
     /// A retry that is granted is taken from the retry budget.
-    pub(crate) fn may_retry(&mut self, request: &PendingRequest, ended: Outcome) -> bool {
-        let left = request.deadline.saturating_sub(self.now) as f64;
-        let is_in_time = left > self.class_latencies[request.class].mean / 2.0;
+    pub(crate) fn may_retry(&mut self, request: &PendingRequest, outcome: Outcome) -> bool {
+        let time_left = request.deadline.saturating_sub(self.now) as f64;
+        let is_in_time = time_left > self.class_latencies[request.class].mean / 2.0;
         // Retries of attempts that never ran are bounded as well, by the attempt limit and by the
         // cost of a failed connection. Otherwise every call would use up all its attempts when no
         // server can be reached.
@@ -19,7 +19,7 @@
         is_harmless
             && is_in_time
             && has_attempts_left
-            && self.retry_budget.withdraw(retry_cost(ended))
+            && self.retry_budget.withdraw(retry_cost(outcome))
     }
 
     /// Whether calls of a class may be sent again after an attempt that may have run.
@@ -58,11 +58,11 @@
 /// An attempt that was never sent has cost no server any work, so its retry is free: when a server
 /// drains, all calls that wait for a stream on its connection come back at once and would otherwise
 /// exhaust the budget and be rejected although other servers have capacity. A failed connection
-/// costs no server work either, and its retry costs only the deposit of one request: many callers
+/// costs no server work either, and its retry costs only the deposit of one request: many balancers
 /// with few calls each can fill the connection tables of servers, and at the full cost their calls
 /// were rejected although other servers had capacity.
-fn retry_cost(ended: Outcome) -> f64 {
-    match ended {
+fn retry_cost(outcome: Outcome) -> f64 {
+    match outcome {
         Outcome::Moot => 0.0,
         Outcome::ConnectFailed => RETRY_DEPOSIT,
         _ => 1.0,
--- a/crates/decisions/src/policy/round_robin.rs
+++ b/crates/decisions/src/policy/round_robin.rs
@@ -16,8 +16,8 @@
     overloaded: Option<usize>,
     /// A server that was passed over, because it had no turn or was unsuitable for the call.
     passed_over: Option<usize>,
-    /// Any server that the call may be sent to.
-    any: Option<usize>,
+    /// Any server that the call may be sent to, even if it is tripped or rejecting calls.
+    candidate: Option<usize>,
 }
 
 impl Balancer {
@@ -34,7 +34,7 @@
     ) -> Option<ServerIndex> {
         let (count, start) = (self.pools[pool].members.len(), self.pools[pool].cursor);
         let size = self.pools[pool].size.max(f64::MIN_POSITIVE);
-        let usual_in_flight = SERVER_OVERLOAD_RATIO * self.baseline_in_flight() / size;
+        let in_flight_limit = SERVER_OVERLOAD_RATIO * self.baseline_in_flight() / size;
         let (mut proposals, mut fallback) = (0, Fallback::default());
         for position in (start + 1..)
             .take(MAX_ROUNDS * count)
@@ -44,21 +44,21 @@
             if !self.is_candidate(pool, index, request) {
                 continue;
             }
-            fallback.any = fallback.any.or(Some(position));
+            fallback.candidate = fallback.candidate.or(Some(position));
             if !self.is_proposed(pool, index, request) {
-                let closed = !self.servers[index].breaker.tripped;
-                let passed_over = Some(position).filter(|_| closed);
+                let is_breaker_closed = !self.servers[index].breaker.tripped;
+                let passed_over = Some(position).filter(|_| is_breaker_closed);
                 fallback.passed_over = fallback.passed_over.or(passed_over);
                 continue;
             }
             let is_rejecting = self.is_rejecting(index);
-            let is_overloaded = is_rejecting || self.is_server_overloaded(index, usual_in_flight);
+            let is_overloaded = is_rejecting || self.is_server_overloaded(index, in_flight_limit);
             if !is_overloaded && self.breaker_admits(index, request.class) {
                 self.pools[pool].cursor = position;
                 return Some(index);
             }
-            let usable = !self.servers[index].breaker.tripped && !is_rejecting;
-            fallback.overloaded = fallback.overloaded.or(Some(position).filter(|_| usable));
+            let is_usable = !self.servers[index].breaker.tripped && !is_rejecting;
+            fallback.overloaded = fallback.overloaded.or(Some(position).filter(|_| is_usable));
             proposals += 1;
             if proposals > MAX_PROPOSALS {
                 break;
@@ -69,9 +69,9 @@
 
     fn pick_fallback(&mut self, pool: PoolIndex, fallback: &Fallback) -> Option<ServerIndex> {
         let usable = fallback.overloaded.or(fallback.passed_over);
-        let has_all = pool == self.settings.zones;
-        let position = if has_all {
-            usable.or(fallback.any)?
+        let is_pool_of_all = pool == self.settings.zones;
+        let position = if is_pool_of_all {
+            usable.or(fallback.candidate)?
         } else {
             usable?
         };
@@ -121,29 +121,30 @@
         request: &PendingRequest,
     ) -> bool {
         let zone = self.servers[index].zone;
-        let is_zone_tried = self.pools[zone].traffic_share.get(self.now) < 1.0;
-        let is_trial = self.servers[index].breaker.tripped && is_zone_tried;
+        let is_share_reduced = self.pools[zone].traffic_share.get(self.now) < 1.0;
+        let is_trial = self.servers[index].breaker.tripped && is_share_reduced;
         !self.is_unsuitable(index, request.class)
             && !self.avoided_zones.contains(&zone)
             && (self.takes_turn(pool, index) || is_trial)
     }
 
     /// Whether a server is too likely to fail for calls of a class. Calls that must not run twice
-    /// avoid failing servers and servers on trial; other calls find out whether these have
-    /// recovered.
+    /// avoid failing servers and servers on trial; other calls are still sent to these servers and
+    /// show whether they have recovered.
     fn is_unsuitable(&self, index: ServerIndex, class: usize) -> bool {
         let is_failing = || self.excess_failure_rate(index, 2.0) > MAX_EXCESS_FAILURE_RATE;
-        let is_trial = || self.traffic_share_of_server(index) <= TRIAL_SHARE;
-        !self.is_idempotent(class) && (is_failing() || is_trial())
+        let is_on_trial = || self.traffic_share_of_server(index) <= TRIAL_SHARE;
+        !self.is_idempotent(class) && (is_failing() || is_on_trial())
     }
 
     fn is_rejecting(&self, index: ServerIndex) -> bool {
         self.now < self.servers[index].overloaded_until || self.is_at_connection_limit(index)
     }
 
-    fn is_server_overloaded(&self, index: ServerIndex, usual_in_flight: f64) -> bool {
+    /// Whether a server has reached `in_flight_limit` calls in flight per unit of its size.
+    fn is_server_overloaded(&self, index: ServerIndex, in_flight_limit: f64) -> bool {
         let server = &self.servers[index];
-        f64::from(server.in_flight) >= (usual_in_flight * server.size).ceil().max(1.0)
+        f64::from(server.in_flight) >= (in_flight_limit * server.size).ceil().max(1.0)
     }
 
     /// Whether a server takes its turn in the weighted round robin.
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -21,8 +21,8 @@
         }
         let rate = self.slow_start_rate(pool, index);
         let server = &mut self.servers[index];
-        let passed = (self.now - server.slow_start_budget_at) as f64 / SECOND as f64;
-        let budget = server.slow_start_budget + rate * server.size * passed;
+        let seconds = (self.now - server.slow_start_budget_at) as f64 / SECOND as f64;
+        let budget = server.slow_start_budget + rate * server.size * seconds;
         server.slow_start_budget = budget.min(1.0);
         server.slow_start_budget_at = self.now;
         server.slow_start_budget >= 1.0
@@ -51,36 +51,37 @@
     /// Calls per second that may be sent to a warm server of a zone, per unit of its size: its
     /// share of the recent responses, or the proven rate of the zone if that is higher.
     ///
-    /// After an outage there are no recent responses, and without the proven rate all returning
-    /// servers would be kept waiting beyond their return. If most servers of all zones are in slow
-    /// start, no warm server takes the remaining calls. The proven rate is less than the capacity
-    /// then, and a part of the multiple that overloads a server is safe. Beyond that, the
+    /// After an outage there are no recent responses, so without the proven rate the returning
+    /// servers would get hardly any calls. If most servers of all zones are in slow start, no warm
+    /// servers take the remaining calls. The proven rate is then below the capacity, so that a
+    /// multiple of it is safe: a part of the multiple that overloads a server. Beyond that, the
     /// slow-start pace of the zone grows while its responses are in time, up to the full demand.
     fn warm_share(&mut self, zone: PoolIndex, share: f64) -> f64 {
         self.update_warm_size();
-        let all = &self.pools[self.settings.zones];
-        let most = (all.size / all.warm_size.max(f64::MIN_POSITIVE)).max(1.0);
+        let all_servers = &self.pools[self.settings.zones];
+        let max_pace = (all_servers.size / all_servers.warm_size.max(f64::MIN_POSITIVE)).max(1.0);
         let pool = &mut self.pools[zone];
-        pool.slow_start_pace = pool.slow_start_pace.clamp(1.0, most);
-        let safe = (SAFE_OVERLOAD_PART * self.settings.slow_start_overload).clamp(1.0, most);
-        let proven = pool.proven_rate * safe.max(pool.slow_start_pace);
-        (share * pool.slow_start_pace).max(proven)
+        pool.slow_start_pace = pool.slow_start_pace.clamp(1.0, max_pace);
+        let safe_multiple =
+            (SAFE_OVERLOAD_PART * self.settings.slow_start_overload).clamp(1.0, max_pace);
+        let proven_share = pool.proven_rate * safe_multiple.max(pool.slow_start_pace);
+        (share * pool.slow_start_pace).max(proven_share)
     }
 
     /// Adjusts the slow-start pace of a zone to the latency of a call, given as a part of the
     /// call's latency target. The step depends on the time since the last adjustment, up to a
     /// quarter of the doubling time, so that few calls change the pace little.
     pub(crate) fn adjust_slow_start_pace(&mut self, zone: PoolIndex, relative_latency: f64) {
-        let calls = (PACE_DOUBLING_CALLS * self.overall_latency.mean) as Duration;
-        let doubling = PACE_DOUBLING.max(calls);
+        let by_latency = (PACE_DOUBLING_CALLS * self.overall_latency.mean) as Duration;
+        let doubling_time = PACE_DOUBLING.max(by_latency);
         let pool = &mut self.pools[zone];
-        let passed = pool.take_pace_interval(self.now, doubling / 4);
-        let passed = passed as f64 / doubling.max(1) as f64;
+        let elapsed = pool.take_pace_interval(self.now, doubling_time / 4);
+        let doublings = elapsed as f64 / doubling_time.max(1) as f64;
         if relative_latency < PACE_UP_BELOW {
-            pool.slow_start_pace *= passed.exp2();
+            pool.slow_start_pace *= doublings.exp2();
         }
         if relative_latency > PACE_DOWN_ABOVE {
-            pool.slow_start_pace *= (-2.0 * passed).exp2();
+            pool.slow_start_pace *= (-2.0 * doublings).exp2();
         }
     }
 
@@ -90,8 +91,9 @@
     /// ends.
     pub(crate) fn has_slow_start_budget(&self, index: ServerIndex) -> bool {
         let is_extended = self.now < self.no_server_found_at.saturating_add(BUDGET_EXTENSION);
-        let started = self.servers[index].started_at;
-        let until = started.map_or(0, |at| at + 2 * self.settings.slow_start_window);
-        is_extended && self.now < until || self.warmth(index) < 1.0
+        let started_at = self.servers[index].started_at;
+        let extension_end =
+            started_at.map_or(0, |started| started + 2 * self.settings.slow_start_window);
+        is_extended && self.now < extension_end || self.warmth(index) < 1.0
     }
 }
--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -20,11 +20,11 @@
 impl Balancer {
     /// Chooses the server for the next attempt of a request; `None` if no server may take it.
     pub(crate) fn choose(&mut self, request: &PendingRequest) -> Option<Selection> {
-        let (all, local) = (self.settings.zones, usize::from(self.settings.zone.0));
+        let (all_servers, local) = (self.settings.zones, usize::from(self.settings.zone.0));
         self.draw_avoided_zones(request.class);
-        let is_left = !self.is_local_zone_usable(local);
-        if is_left != self.local_zone_left {
-            self.local_zone_left = is_left;
+        let is_unusable = !self.is_local_zone_usable(local);
+        if is_unusable != self.has_left_local_zone {
+            self.has_left_local_zone = is_unusable;
             self.log_local_zone(local);
         }
         if let Some(trial) = self.trial_in_tripped_zone(local, request) {
@@ -33,10 +33,10 @@
         let first = self.first_pool(local, request.class);
         let selected = self.select(first, request);
         selected.or_else(|| {
-            if first == all {
+            if first == all_servers {
                 None
             } else {
-                self.select(all, request)
+                self.select(all_servers, request)
             }
         })
     }
@@ -63,7 +63,7 @@
     fn log_local_zone(&mut self, local: PoolIndex) {
         let zone = &self.pools[local];
         self.log(LogEvent::LocalZone {
-            left: self.local_zone_left,
+            has_left: self.has_left_local_zone,
             healthy: zone.healthy(),
             servers: zone.members.len(),
             in_flight: zone.in_flight,
@@ -75,13 +75,13 @@
     ///
     /// While the fleet's health evidence reduces the traffic of the local zone, the fleet's share
     /// decides whether the local zone is used. The balancer's own observations decay too slowly to
-    /// follow the fleet's return to a zone.
+    /// follow the fleet when it returns to a zone.
     fn first_pool(&mut self, local: PoolIndex, class: usize) -> PoolIndex {
-        let is_paced = self.pools[local].traffic_share_of(class, self.now) < 1.0;
-        if self.avoided_zones.contains(&local) || (!is_paced && self.local_zone_left) {
+        let is_share_reduced = self.pools[local].traffic_share_of(class, self.now) < 1.0;
+        if self.avoided_zones.contains(&local) || (!is_share_reduced && self.has_left_local_zone) {
             self.zone_after_avoidance(local)
                 .unwrap_or(self.settings.zones)
-        } else if is_paced {
+        } else if is_share_reduced {
             local
         } else {
             self.spillover_zone(local).unwrap_or(local)
@@ -96,8 +96,8 @@
         local: PoolIndex,
         request: &PendingRequest,
     ) -> Option<Selection> {
-        let is_left = self.local_zone_left;
-        let others = (0..self.settings.zones).filter(|zone| is_left && *zone != local);
+        let has_left = self.has_left_local_zone;
+        let others = (0..self.settings.zones).filter(|zone| has_left && *zone != local);
         std::iter::once(local).chain(others).find_map(|zone| {
             let is_avoided = self.avoided_zones.contains(&zone);
             let is_tripped = self.pools[zone].healthy() == 0 && !is_avoided;
@@ -110,8 +110,8 @@
     }
 
     /// Whether calls may stay in the local zone. These are Ribbon's three tests of zone affinity
-    /// (healthy servers, tripped breakers, load), and a test of the zone's failure rate for callers
-    /// with too few calls to trip breakers.
+    /// (healthy servers, tripped breakers, load), and a test of the zone's failure rate for
+    /// balancers with too few calls to trip breakers.
     fn is_local_zone_usable(&self, local: PoolIndex) -> bool {
         let zone = &self.pools[local];
         let is_blackout = zone.tripped as f64 >= BLACKOUT_THRESHOLD * zone.members.len() as f64;
@@ -125,7 +125,7 @@
     /// if the call stays.
     ///
     /// If a zone gets more traffic than its servers can handle, calls are slow at all of them, and
-    /// a caller with few calls has too few in flight to detect the overload by their number. The
+    /// a balancer with few calls has too few in flight to detect the overload by their number. The
     /// part of the calls that spills over is proportional to the latency that spillover gains, so
     /// that only the surplus leaves the zone.
     fn spillover_zone(&mut self, local: PoolIndex) -> Option<PoolIndex> {
@@ -135,8 +135,8 @@
         let now = self.now;
         let avoided = std::mem::take(&mut self.avoided_zones);
         let zone = self.random_zone(|zone, pool| {
-            let is_sound = pool.healthy() >= MIN_HEALTHY && failure_rate_is_low(pool, now);
-            zone != local && !avoided.contains(&zone) && is_sound
+            let is_healthy = pool.healthy() >= MIN_HEALTHY && failure_rate_is_low(pool, now);
+            zone != local && !avoided.contains(&zone) && is_healthy
         });
         self.avoided_zones = avoided;
         let zone = zone?;
@@ -144,27 +144,29 @@
         let expected = |zone: PoolIndex| {
             self.pools[zone].expected_relative_latency(baseline, now, HEALTH_DECAY)
         };
-        let least = SPILLOVER_COST_PART * self.settings.cross_zone_cost + SPILLOVER_NOISE;
-        let gain = expected(local) - expected(zone) - least;
+        let min_gain = SPILLOVER_COST_PART * self.settings.cross_zone_cost + SPILLOVER_NOISE;
+        let gain = expected(local) - expected(zone) - min_gain;
         (self.rng.f64() < SPILLOVER_GAIN * gain).then_some(zone)
     }
 
     /// Draws one of the eligible zones at random. Zones with more servers are drawn more often.
     fn random_zone(&mut self, is_eligible: impl Fn(PoolIndex, &Pool) -> bool) -> Option<PoolIndex> {
-        let (all, zones) = self.pools.split_last()?;
-        let count = all.members.len();
+        let (all_servers, zones) = self.pools.split_last()?;
+        let count = all_servers.members.len();
         let start = self.rng.usize(..count.max(1));
         let positions = start..start + count;
-        let mut drawn = positions.map(|at| self.servers[all.members[at % count]].zone);
+        let mut drawn =
+            positions.map(|position| self.servers[all_servers.members[position % count]].zone);
         drawn.find(|&zone| zones.get(zone).is_some_and(|pool| is_eligible(zone, pool)))
     }
 
     /// Whether a zone has far more calls in flight than expected without load. The expected number
     /// is that of a zone of `normal_size`, scaled to the zone's size. It replaces a fixed
-    /// threshold, which a caller with few calls would never reach.
+    /// threshold, which a balancer with few calls would never reach.
     fn is_overloaded(&self, zone: &Pool, normal_size: f64) -> bool {
         if self.overall_latency.calls < MIN_SAMPLES {
-            // After a start there is no baseline yet, and every zone would be left at once.
+            // Before the first responses, there is no baseline and every zone would look
+            // overloaded.
             return false;
         }
         let expected = self.baseline_in_flight() * zone.size / normal_size.max(f64::MIN_POSITIVE);
@@ -177,30 +179,30 @@
     /// avoid. If any zone was excluded, draws one of the others, larger ones more often; otherwise
     /// returns `None`.
     ///
-    /// The failure rate is tested because a caller with few calls would have to find each failing
+    /// The failure rate is tested because a balancer with few calls would have to find each failing
     /// server of a zone separately.
     fn zone_after_avoidance(&mut self, local: PoolIndex) -> Option<PoolIndex> {
         let now = self.now;
         let worst = self.worst_overloaded_zone(local);
         let avoided = self.avoided_zones.clone();
         let is_eligible = |zone: PoolIndex, pool: &Pool| {
-            let is_sound = pool.healthy() > 0 && failure_rate_is_low(pool, now);
-            is_sound && Some(zone) != worst && !avoided.contains(&zone)
+            let is_healthy = pool.healthy() > 0 && failure_rate_is_low(pool, now);
+            is_healthy && Some(zone) != worst && !avoided.contains(&zone)
         };
         let (_, zones) = self.pools.split_last()?;
-        let keeps = |(zone, pool)| is_eligible(zone, pool) || pool.members.is_empty();
-        if zones.iter().enumerate().all(keeps) {
+        let is_not_excluded = |(zone, pool)| is_eligible(zone, pool) || pool.members.is_empty();
+        if zones.iter().enumerate().all(is_not_excluded) {
             return None;
         }
         self.random_zone(is_eligible)
     }
 
     fn worst_overloaded_zone(&self, local: PoolIndex) -> Option<PoolIndex> {
-        let (all, zones) = self.pools.split_last()?;
+        let (all_servers, zones) = self.pools.split_last()?;
         let normal_size = zones
             .get(local)
             .filter(|zone| zone.size > 0.0)
-            .unwrap_or(all)
+            .unwrap_or(all_servers)
             .size;
         let is_overloaded = |zone: &PoolIndex| {
             let pool = &zones[*zone];
--- a/crates/decisions/src/state/averages.rs
+++ b/crates/decisions/src/state/averages.rs
@@ -46,16 +46,16 @@
     /// the first sample instead of 0.
     pub fn record(&mut self, sample: f64, gain: f64, baseline_gain: BaselineGain) {
         self.calls = self.calls.saturating_add(1);
-        let least = 1.0 / f64::from(self.calls);
-        let gain = gain.max(least);
+        let min_gain = 1.0 / f64::from(self.calls);
+        let gain = gain.max(min_gain);
         self.mean += gain * (sample - self.mean);
         self.mean_deviation += gain * ((sample - self.mean).abs() - self.mean_deviation);
-        let towards = if self.mean < self.baseline {
+        let gain_towards_mean = if self.mean < self.baseline {
             baseline_gain.down
         } else {
             baseline_gain.up
         };
-        self.baseline += towards.max(least) * (self.mean - self.baseline);
+        self.baseline += gain_towards_mean.max(min_gain) * (self.mean - self.baseline);
     }
 }
 
@@ -113,8 +113,8 @@
     /// that the rate is not underestimated at first.
     pub fn per_second(&self, now: Time, window: Duration) -> f64 {
         let age = now.saturating_sub(self.started_at) as f64;
-        let seen = 1.0 - (-age / window as f64).exp();
-        self.get(now, window) * 1e9 / (window as f64 * seen.max(0.05))
+        let observed_part = 1.0 - (-age / window as f64).exp();
+        self.get(now, window) * 1e9 / (window as f64 * observed_part.max(0.05))
     }
 
     /// The sum at `now`.
--- a/crates/decisions/src/state/load.rs
+++ b/crates/decisions/src/state/load.rs
@@ -30,9 +30,9 @@
 
     /// Adds the pending load up to `now` to its integral, then changes the pending load.
     pub fn change_pending(&mut self, now: Time, change: f64, window: Duration) {
-        let passed = now.saturating_sub(self.pending_sum.updated_at) as f64 / window as f64;
-        let elapsed = self.pending * window as f64 * (1.0 - (-passed).exp());
-        self.pending_sum.add(now, elapsed, window);
+        let windows = now.saturating_sub(self.pending_sum.updated_at) as f64 / window as f64;
+        let integral = self.pending * window as f64 * (1.0 - (-windows).exp());
+        self.pending_sum.add(now, integral, window);
         self.pending = (self.pending + change).max(0.0);
     }
 }
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) use load::{LoadMeter, TenantLoad};
 pub(crate) use pool::{Pool, pools_of};
 pub(crate) use request::{
-    AttemptDelay, Candidate, InFlight, LoadComparison, PendingRequest, SentAttempt, WorkedOn,
+    AttemptDelay, Candidate, InFlightChange, LoadComparison, PendingRequest, SentAttempt, WorkedOn,
 };
 pub(crate) use retry_budget::RetryBudget;
 pub(crate) use server::{
--- a/crates/decisions/src/state/pool.rs
+++ b/crates/decisions/src/state/pool.rs
@@ -21,9 +21,9 @@
     /// Highest turn weight among the members that were recently considered; it decays slowly.
     pub best_weight: f64,
     responses: DecayingSum,
-    /// Average rate of responses that the pool has been measured to give, per second and unit of
-    /// size.
+    /// Average rate of responses that the pool has achieved, per second and unit of size.
     pub proven_rate: f64,
+    /// Time that `proven_rate` is an average over so far.
     proven_span: Duration,
     /// Time at which the last member leaves slow start.
     pub slow_start_until: Time,
@@ -50,15 +50,15 @@
     /// The proven rate does not fall without responses, or while members are held back by slow
     /// start: an outage does not show that the pool can handle less.
     pub fn record_response(&mut self, now: Time, window: Duration, span: Duration) {
-        let passed = now.saturating_sub(self.responses.updated_at).min(window);
+        let elapsed = now.saturating_sub(self.responses.updated_at).min(window);
         self.responses.add(now, 1.0, window);
         let rate = self.responses.sum * 1e9 / window as f64 / self.size.max(f64::MIN_POSITIVE);
         let in_slow_start = now < self.slow_start_until.saturating_add(window);
         if in_slow_start && rate < self.proven_rate {
             return;
         }
-        self.proven_span = (self.proven_span + passed).min(span);
-        let weight = passed as f64 / self.proven_span.max(1) as f64;
+        self.proven_span = (self.proven_span + elapsed).min(span);
+        let weight = elapsed as f64 / self.proven_span.max(1) as f64;
         self.proven_rate += weight * (rate - self.proven_rate);
     }
 
@@ -82,19 +82,19 @@
 
     /// Share of its usual traffic that a class may send to the zone, from 0 to 1.
     pub fn traffic_share_of(&self, class: usize, now: Time) -> f64 {
-        let of_class = self
+        let class_share = self
             .class_traffic_shares
             .get(class)
             .map_or(1.0, |share| share.get(now));
-        self.traffic_share.get(now).min(of_class)
+        self.traffic_share.get(now).min(class_share)
     }
 
     /// Returns the time since the last adjustment of the slow-start pace, at most `limit`, and
     /// restarts it at `now`.
     pub fn take_pace_interval(&mut self, now: Time, limit: Duration) -> Duration {
-        let passed = now.saturating_sub(self.slow_start_pace_at).min(limit);
+        let elapsed = now.saturating_sub(self.slow_start_pace_at).min(limit);
         self.slow_start_pace_at = now;
-        passed
+        elapsed
     }
 
     /// Number of members whose circuit breaker is closed.
@@ -132,10 +132,10 @@
 
 /// The pools to which a server of a zone belongs: the pool of the zone and the pool of all servers.
 pub(crate) fn pools_of(pools: &mut [Pool], zone: PoolIndex) -> impl Iterator<Item = &mut Pool> {
-    let all = pools.len() - 1;
-    let both = pools
+    let all_servers = pools.len() - 1;
+    let zone_and_all = pools
         .iter_mut()
         .enumerate()
-        .filter(move |(at, _)| *at == zone || *at == all);
-    both.map(|(_, pool)| pool)
+        .filter(move |(pool, _)| *pool == zone || *pool == all_servers);
+    zone_and_all.map(|(_, pool)| pool)
 }
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -67,7 +67,7 @@
 
 /// A change of the number of calls in flight: an attempt begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum InFlight {
+pub(crate) enum InFlightChange {
     Begins,
     Ends,
 }
