--- a/crates/decisions/tests/golden_decisions.rs
+++ b/crates/decisions/tests/golden_decisions.rs
@@ -69,7 +69,9 @@
 
 struct ServerModel {
     entry: ServerEntry,
-    service: u64,
+    /// Usual time in which the server processes a call without load.
+    service_time: u64,
+    /// Number of calls that the server processes at a time.
     capacity: u64,
     in_flight: u64,
     fault: Fault,
@@ -88,18 +90,21 @@
 
 struct OpenAttempt {
     number: u32,
+    /// Position of the server in `Fleet::servers`.
     server: usize,
-    sent: u64,
+    sent_at: u64,
     outcome: Outcome,
-    ends: (u64, u64),
-    begun: bool,
+    /// Key of the attempt's end in `Fleet::event_queue`.
+    end_key: (u64, u64),
+    response_started: bool,
 }
 
 #[derive(Default)]
 struct Call {
     attempts: u32,
-    open: Option<OpenAttempt>,
-    over: bool,
+    open_attempt: Option<OpenAttempt>,
+    /// Whether the client has a response or has disconnected, or the balancer was replaced.
+    is_closed: bool,
 }
 
 /// How often each kind of action was taken, in the order of `Fleet::record`.
@@ -117,22 +122,23 @@
     next_call: u32,
     /// Future events, ordered by time and by the order in which they were scheduled.
     event_queue: BTreeMap<(u64, u64), ModelEvent>,
-    scheduled: u64,
+    /// Number of events scheduled so far.
+    scheduled_events: u64,
     /// Usual mean time between two requests.
-    usual_spacing: u64,
+    usual_request_interval: u64,
     /// Current mean time between two requests.
-    spacing: u64,
+    request_interval: u64,
 }
 
 impl Fleet {
-    fn new(settings: Settings, seed: u64, spacing: u64) -> Self {
+    fn new(settings: Settings, seed: u64, request_interval: u64) -> Self {
         let server = |number: u32| ServerModel {
             entry: ServerEntry {
                 cell: (number % 2) as u16,
                 size: if number % 5 == 4 { 2.0 } else { 1.0 },
                 ..entry(number, (number % 3) as u8)
             },
-            service: (12 + 4 * u64::from(number % 4)) * MS,
+            service_time: (12 + 4 * u64::from(number % 4)) * MS,
             capacity: 1 + u64::from(number % 2),
             in_flight: 0,
             fault: Fault::None,
@@ -148,9 +154,9 @@
             calls: BTreeMap::new(),
             next_call: 0,
             event_queue: BTreeMap::new(),
-            scheduled: 0,
-            usual_spacing: spacing,
-            spacing,
+            scheduled_events: 0,
+            usual_request_interval: request_interval,
+            request_interval,
         };
         fleet.send_complete_list();
         fleet.schedule(0, ModelEvent::Arrival);
@@ -174,8 +180,8 @@
     }
 
     fn schedule(&mut self, after: u64, event: ModelEvent) -> (u64, u64) {
-        self.scheduled += 1;
-        let key = (self.now.saturating_add(after), self.scheduled);
+        self.scheduled_events += 1;
+        let key = (self.now.saturating_add(after), self.scheduled_events);
         self.event_queue.insert(key, event);
         key
     }
@@ -256,7 +262,7 @@
                 begin_by,
             } => self.begin_attempt(id.0, server, until, begin_by),
             Action::Reject { id, .. } | Action::Fail(id) => {
-                self.calls.get_mut(&id.0).expect("a known call").over = true;
+                self.calls.get_mut(&id.0).expect("a known call").is_closed = true;
             }
             Action::Cancel { id, .. } => self.cancel(id.0),
             Action::Probe(server) => {
@@ -274,67 +280,69 @@
     }
 
     fn begin_attempt(&mut self, id: u32, server: ServerId, until: u64, begin_by: u64) {
-        let at = server.0 as usize;
-        let (outcome, took) = self.outcome_at(at, begin_by);
-        let timed_out = self.now.saturating_add(took) >= until;
+        let position = server.0 as usize;
+        let (outcome, duration) = self.draw_outcome(position, begin_by);
+        let timed_out = self.now.saturating_add(duration) >= until;
         let outcome = if timed_out { Outcome::Timeout } else { outcome };
-        let took = if timed_out {
+        let duration = if timed_out {
             until.saturating_sub(self.now)
         } else {
-            took
+            duration
         };
-        let ends = self.schedule(took, ModelEvent::AttemptEnds(id));
+        let end_key = self.schedule(duration, ModelEvent::AttemptEnds(id));
         if outcome == Outcome::Ok && self.rng.chance(60) {
-            self.schedule(took / 2, ModelEvent::ResponseStarts(id));
+            self.schedule(duration / 2, ModelEvent::ResponseStarts(id));
         }
         if self.rng.chance(15) {
-            self.schedule(took / 3, ModelEvent::ClientDisconnects(id));
+            self.schedule(duration / 3, ModelEvent::ClientDisconnects(id));
         }
-        self.servers[at].in_flight += 1;
+        self.servers[position].in_flight += 1;
         let call = self.calls.get_mut(&id).expect("a known call");
-        assert!(call.open.is_none(), "one attempt at a time");
+        assert!(call.open_attempt.is_none(), "one attempt at a time");
         let number = call.attempts;
         call.attempts += 1;
-        call.open = Some(OpenAttempt {
+        call.open_attempt = Some(OpenAttempt {
             number,
-            server: at,
-            sent: self.now,
+            server: position,
+            sent_at: self.now,
             outcome,
-            ends,
-            begun: false,
+            end_key,
+            response_started: false,
         });
     }
 
     /// Outcome and duration of an attempt that is sent to a server now.
-    fn outcome_at(&mut self, at: usize, begin_by: u64) -> (Outcome, u64) {
-        let (jitter, broken) = (self.rng.below(40), self.rng.chance(500));
-        let declined = self.rng.chance(5);
-        let server = &self.servers[at];
+    fn draw_outcome(&mut self, position: usize, begin_by: u64) -> (Outcome, u64) {
+        // Some faults affect only a part of the attempts.
+        let (jitter, is_affected) = (self.rng.below(40), self.rng.chance(500));
+        let is_declined = self.rng.chance(5);
+        let server = &self.servers[position];
         let queued = server.in_flight / server.capacity;
-        let took = server.service * (1 + queued) * (80 + jitter) / 100;
+        let duration = server.service_time * (1 + queued) * (80 + jitter) / 100;
         if begin_by < self.now + 5 * MS || self.rng.chance(3) {
             return (Outcome::Moot, MS);
         }
         match server.fault {
-            Fault::Slow => (Outcome::Ok, 6 * took),
-            Fault::Erring if broken => (Outcome::Error, took / 2),
+            Fault::Slow => (Outcome::Ok, 6 * duration),
+            Fault::Erring if is_affected => (Outcome::Error, duration / 2),
             Fault::Hanging => (Outcome::Ok, 60 * SECOND),
-            Fault::Refusing if queued > 0 || broken => (Outcome::Full, MS),
-            Fault::Unreachable if broken => (Outcome::ConnectFailed, 200 * MS),
+            Fault::Refusing if queued > 0 || is_affected => (Outcome::Full, MS),
+            Fault::Unreachable if is_affected => (Outcome::ConnectFailed, 200 * MS),
             Fault::Unreachable => (Outcome::ConnectFailed, MS),
-            Fault::Resetting if broken => (Outcome::Reset, took / 4),
-            _ if declined => (Outcome::Declined, took / 2),
-            _ => (Outcome::Ok, took),
+            Fault::Resetting if is_affected => (Outcome::Reset, duration / 4),
+            _ if is_declined => (Outcome::Declined, duration / 2),
+            _ => (Outcome::Ok, duration),
         }
     }
 
     fn cancel(&mut self, id: u32) {
-        let Some(open) = self.calls.get_mut(&id).and_then(|call| call.open.as_mut()) else {
+        let call = self.calls.get_mut(&id);
+        let Some(attempt) = call.and_then(|call| call.open_attempt.as_mut()) else {
             return;
         };
-        open.outcome = Outcome::Cancelled;
-        let ends = open.ends;
-        self.event_queue.remove(&ends);
+        attempt.outcome = Outcome::Cancelled;
+        let end_key = attempt.end_key;
+        self.event_queue.remove(&end_key);
         self.schedule(MS, ModelEvent::AttemptEnds(id));
     }
 
@@ -345,7 +353,7 @@
             ModelEvent::ResponseStarts(id) => self.start_response(id),
             ModelEvent::ClientDisconnects(id) => {
                 let call = self.calls.get_mut(&id).expect("a known call");
-                if !std::mem::replace(&mut call.over, true) {
+                if !std::mem::replace(&mut call.is_closed, true) {
                     self.handle(Event::ClientDisconnected(RequestId(id)));
                 }
             }
@@ -382,22 +390,24 @@
                 ..parameters
             },
         ));
-        let after = self.spacing / 2 + self.rng.below(self.spacing.max(1));
+        let after = self.request_interval / 2 + self.rng.below(self.request_interval.max(1));
         self.schedule(after, ModelEvent::Arrival);
     }
 
     fn end_attempt(&mut self, id: u32) {
         let call = self.calls.get_mut(&id).expect("a known call");
-        let Some(open) = call.open.take() else { return };
-        let closed =
-            matches!(open.outcome, Outcome::Ok | Outcome::Declined) || open.begun || call.over;
-        call.over |= closed;
-        let server = &mut self.servers[open.server];
+        let Some(attempt) = call.open_attempt.take() else {
+            return;
+        };
+        let is_final = matches!(attempt.outcome, Outcome::Ok | Outcome::Declined);
+        let closed = is_final || attempt.response_started || call.is_closed;
+        call.is_closed |= closed;
+        let server = &mut self.servers[attempt.server];
         server.in_flight -= 1;
         let end = AttemptEnd {
-            attempt: open.number,
-            outcome: open.outcome,
-            elapsed: self.now - open.sent,
+            attempt: attempt.number,
+            outcome: attempt.outcome,
+            elapsed: self.now - attempt.sent_at,
             closed,
             load: load_report(server.in_flight as f32),
         };
@@ -406,20 +416,24 @@
 
     fn start_response(&mut self, id: u32) {
         let call = self.calls.get_mut(&id).expect("a known call");
-        let Some(open) = call.open.as_mut().filter(|_| !call.over) else {
+        let Some(attempt) = call.open_attempt.as_mut().filter(|_| !call.is_closed) else {
             return;
         };
-        open.begun = true;
-        call.over = true;
-        let attempt = open.number;
-        self.handle(Event::ResponseStarted(RequestId(id), attempt));
+        attempt.response_started = true;
+        call.is_closed = true;
+        let number = attempt.number;
+        self.handle(Event::ResponseStarted(RequestId(id), number));
     }
 
     fn end_probe(&mut self, server: ServerId) {
         let model = &self.servers[server.0 as usize];
-        let dead = matches!(model.fault, Fault::Hanging | Fault::Unreachable);
-        let load = load_report(model.in_flight as f32).filter(|_| !dead);
-        let outcome = if dead { Outcome::Timeout } else { Outcome::Ok };
+        let is_dead = matches!(model.fault, Fault::Hanging | Fault::Unreachable);
+        let load = load_report(model.in_flight as f32).filter(|_| !is_dead);
+        let outcome = if is_dead {
+            Outcome::Timeout
+        } else {
+            Outcome::Ok
+        };
         self.handle(Event::ProbeEnded(server, outcome, load));
     }
 
@@ -436,24 +450,27 @@
     /// verdicts, a hand-over or new settings.
     fn change_fleet(&mut self) {
         self.schedule(1500 * MS, ModelEvent::FleetChanges);
-        let at = self.rng.below(u64::from(SERVERS)) as usize;
+        let server = self.rng.below(u64::from(SERVERS)) as usize;
         match self.rng.below(16) {
-            0 => self.servers[at].fault = Fault::Slow,
-            1 => self.servers[at].fault = Fault::Erring,
-            2 => self.servers[at].fault = Fault::Hanging,
-            3 => self.servers[at].fault = Fault::Refusing,
-            4 => self.servers[at].fault = Fault::Unreachable,
-            5 => self.servers[at].fault = Fault::Resetting,
-            6 => self.fail_zone(at % 3),
+            0 => self.servers[server].fault = Fault::Slow,
+            1 => self.servers[server].fault = Fault::Erring,
+            2 => self.servers[server].fault = Fault::Hanging,
+            3 => self.servers[server].fault = Fault::Refusing,
+            4 => self.servers[server].fault = Fault::Unreachable,
+            5 => self.servers[server].fault = Fault::Resetting,
+            6 => self.fail_zone(server % 3),
             7 | 8 => self
                 .servers
                 .iter_mut()
                 .for_each(|server| server.fault = Fault::None),
-            9 => self.change_lifecycle(at, Lifecycle::Draining),
-            10 => self.change_lifecycle(at, Lifecycle::Removed),
-            11 => self.restart_zone(at % 3),
-            12 => self.spacing = self.usual_spacing / 4 + self.rng.below(2 * self.usual_spacing),
-            13 => self.send_verdicts(at),
+            9 => self.change_lifecycle(server, Lifecycle::Draining),
+            10 => self.change_lifecycle(server, Lifecycle::Removed),
+            11 => self.restart_zone(server % 3),
+            12 => {
+                self.request_interval = self.usual_request_interval / 4
+                    + self.rng.below(2 * self.usual_request_interval);
+            }
+            13 => self.send_verdicts(server),
             14 => self.hand_over(),
             _ => self.change_settings(),
         }
@@ -470,9 +487,9 @@
         servers.for_each(|server| server.fault = fault);
     }
 
-    fn change_lifecycle(&mut self, at: usize, lifecycle: Lifecycle) {
-        self.servers[at].entry.lifecycle = lifecycle;
-        let entry = self.servers[at].entry.clone();
+    fn change_lifecycle(&mut self, server: usize, lifecycle: Lifecycle) {
+        self.servers[server].entry.lifecycle = lifecycle;
+        let entry = self.servers[server].entry.clone();
         self.handle(Event::ServerListChange(&[entry]));
     }
 
@@ -496,21 +513,21 @@
             return;
         }
         let is_not_ready = |server: &ServerModel| server.entry.lifecycle != Lifecycle::Ready;
-        let Some(at) = self.servers.iter().position(is_not_ready) else {
+        let Some(server) = self.servers.iter().position(is_not_ready) else {
             return;
         };
         if self.rng.chance(500) {
-            self.servers[at].entry.started = Some(self.now);
+            self.servers[server].entry.started = Some(self.now);
         }
-        self.change_lifecycle(at, Lifecycle::Ready);
+        self.change_lifecycle(server, Lifecycle::Ready);
     }
 
-    fn send_verdicts(&mut self, at: usize) {
+    fn send_verdicts(&mut self, server: usize) {
         let zone = ZoneId(self.rng.below(3) as u8);
         let domains = [
             FailureDomain::Zone(zone, None),
-            FailureDomain::Zone(zone, Some(at % 5)),
-            FailureDomain::Server(ServerId(at as u32)),
+            FailureDomain::Zone(zone, Some(server % 5)),
+            FailureDomain::Server(ServerId(server as u32)),
         ];
         let shares = [0.0, 0.2, 0.6, 1.0];
         let verdicts = domains.map(|domain| HealthVerdict {
@@ -531,9 +548,9 @@
         self.send_complete_list();
         self.balancer.restore(self.now, &learned);
         for call in self.calls.values_mut() {
-            call.over = true;
-            if let Some(open) = call.open.take() {
-                self.servers[open.server].in_flight -= 1;
+            call.is_closed = true;
+            if let Some(attempt) = call.open_attempt.take() {
+                self.servers[attempt.server].in_flight -= 1;
             }
         }
         self.record_learned();
@@ -546,13 +563,13 @@
         if self.settings.classes.len() == 5 {
             let class = self.settings.classes[SAFE].clone();
             self.settings.classes.push(class);
-            let new = [ClassSuccession {
+            let successions = [ClassSuccession {
                 class: 5,
                 predecessor: SAFE,
             }];
             return self
                 .balancer
-                .reconfigure(self.settings.clone(), &new)
+                .reconfigure(self.settings.clone(), &successions)
                 .unwrap();
         }
         self.balancer
@@ -561,8 +578,8 @@
     }
 }
 
-fn play(settings: Settings, seed: u64, spacing: u64) -> (String, Counts) {
-    let (digest, counts) = Fleet::new(settings, seed, spacing).play(STEPS);
+fn play(settings: Settings, seed: u64, request_interval: u64) -> (String, Counts) {
+    let (digest, counts) = Fleet::new(settings, seed, request_interval).play(STEPS);
     (format!("{digest:016x}"), counts)
 }
 
