--- a/crates/decisions/tests/behaviour/breakers.rs
+++ b/crates/decisions/tests/behaviour/breakers.rs
@@ -27,7 +27,8 @@
     for call in 0..60 {
         harness.serve(UNSAFE, (15 + call % 10) * MS);
     }
-    let mut stuck = Vec::new();
+    // Due time and token of the timers of the calls that hang.
+    let mut hung_call_timers = Vec::new();
     for _ in 0..200 {
         let (id, actions) = harness.request(UNSAFE);
         let timer = actions.iter().find_map(|action| match action {
@@ -35,23 +36,23 @@
             _ => None,
         });
         if sent_to(&actions) == Some(1) {
-            stuck.push(timer.expect("an overdue timer"));
+            hung_call_timers.push(timer.expect("a timer for a late attempt"));
         } else {
             harness.now += 20 * MS;
             harness.end(id, 0, Outcome::Ok, 20 * MS);
         }
         let now = harness.now;
-        for (_, token) in stuck.extract_if(.., |(due, _)| *due <= now) {
+        for (_, token) in hung_call_timers.extract_if(.., |(due, _)| *due <= now) {
             harness.handle(Event::Timer(token));
         }
         if harness.now > 5 * SECOND {
             break;
         }
     }
-    let after: Vec<_> = (0..12)
+    let later_servers: Vec<_> = (0..12)
         .filter_map(|_| harness.serve(UNSAFE, 5 * MS))
         .collect();
-    assert!(!after.contains(&1), "{after:?}");
+    assert!(!later_servers.contains(&1), "{later_servers:?}");
 }
 
 /// Guards against ejecting servers at their connection limit. Such a server refuses new connections
@@ -116,10 +117,10 @@
         }));
     }
     // All calls are answered 17 deviations above the mean.
-    let answered = harness.now + 190 * MS;
+    let answered_at = harness.now + 190 * MS;
     let mut logs = Vec::new();
-    while let Some(at) = timers.iter().position(|&(_, due)| due < answered) {
-        let (token, due) = timers.swap_remove(at);
+    while let Some(position) = timers.iter().position(|&(_, due)| due < answered_at) {
+        let (token, due) = timers.swap_remove(position);
         harness.now = harness.now.max(due);
         for action in harness.handle(Event::Timer(token)) {
             match action {
@@ -155,12 +156,12 @@
     );
     // The server does not count as failed before that either. The first timer finds the call late,
     // and the second one, which records a failure, is not due earlier than the timeout.
-    let (at, token) = timers(&actions, harness.now).pop().expect("a first timer");
-    harness.now = at;
-    let (again, _) = timers(&harness.handle(Event::Timer(token)), 0)
+    let (due, token) = timers(&actions, harness.now).pop().expect("a first timer");
+    harness.now = due;
+    let (delay, _) = timers(&harness.handle(Event::Timer(token)), 0)
         .pop()
         .expect("a second timer");
-    assert!(again >= 50 * MS, "{again}");
+    assert!(delay >= 50 * MS, "{delay}");
 }
 
 #[test]
--- a/crates/decisions/tests/behaviour/connections.rs
+++ b/crates/decisions/tests/behaviour/connections.rs
@@ -45,33 +45,33 @@
             Some((id, sent_to(&actions)?))
         })
         .collect();
-    let mut idle = [0u32; 2];
+    let mut idle_connections = [0u32; 2];
     harness.now += 30 * MS;
     let mut ends: Vec<_> = burst
         .into_iter()
         .map(|(id, server)| (id, server, 0))
         .collect();
     // In the following seconds, one call at a time is sent.
-    for at in 0..40 {
+    for call in 0..40 {
         for (id, server, wait) in std::mem::take(&mut ends) {
-            idle[server as usize] += u32::from(wait == 0);
+            idle_connections[server as usize] += u32::from(wait == 0);
             for action in harness.end(id, 0, Outcome::Ok, 30 * MS) {
                 if let Action::CloseIdleConnections(closed) = action {
-                    idle[closed.0 as usize] = 0;
+                    idle_connections[closed.0 as usize] = 0;
                 }
             }
         }
         assert!(
-            at > 0 || idle.iter().any(|&n| n > 2),
-            "connections of the recent peak are kept: {idle:?}"
+            call > 0 || idle_connections.iter().any(|&count| count > 2),
+            "connections of the recent peak are kept: {idle_connections:?}"
         );
         harness.now += 100 * MS;
         let (id, actions) = harness.request(SAFE);
         ends.extend(sent_to(&actions).map(|server| (id, server, 1)));
     }
     assert!(
-        idle.iter().all(|&n| n <= 2),
-        "idle connections left: {idle:?}"
+        idle_connections.iter().all(|&count| count <= 2),
+        "idle connections left: {idle_connections:?}"
     );
     let closed = (0..20).any(|_| {
         let (id, _) = harness.request(SAFE);
@@ -95,8 +95,8 @@
     });
     let fail = |harness: &mut Harness| sparse_call_to(harness, SAFE, Outcome::Reset).0;
     let mut closed: std::collections::BTreeSet<_> = (0..2).map(|_| fail(&mut harness)).collect();
-    // A connection on which a call failed is closed already. Every other one is replaced before
-    // use.
+    // A connection on which a call failed is closed already. Every other connection is replaced
+    // before it is used.
     for _ in 0..12 {
         let (server, replaced) = sparse_call_to(&mut harness, UNSAFE, Outcome::Ok);
         assert!(
@@ -168,21 +168,21 @@
     harness.warm_up(40);
     // Both servers have calls in flight; server 1 accepts no further connection.
     let pending: Vec<_> = (0..8).map(|_| harness.request(SAFE)).collect();
-    let at_one = |pending: &[(RequestId, Vec<Action>)]| -> Vec<RequestId> {
+    let calls_at_server_1 = |pending: &[(RequestId, Vec<Action>)]| -> Vec<RequestId> {
         pending
             .iter()
             .filter(|(_, actions)| sent_to(actions) == Some(1))
             .map(|(id, _)| *id)
             .collect()
     };
-    let limited = at_one(&pending);
-    limited
+    let refused = calls_at_server_1(&pending);
+    refused
         .iter()
         .for_each(|&id| drop(harness.end(id, 0, Outcome::ConnectFailed, MS)));
     harness.now += 60 * MS;
     let next: Vec<_> = (0..4).map(|_| harness.request(SAFE)).collect();
     assert!(
-        at_one(&next).is_empty(),
+        calls_at_server_1(&next).is_empty(),
         "server 1 is at its connection limit"
     );
     let restarted = ServerEntry {
@@ -192,7 +192,10 @@
     harness.now += 2 * SECOND;
     harness.handle(Event::ServerListChange(&[restarted]));
     let again: Vec<_> = (0..4).map(|_| harness.request(SAFE)).collect();
-    assert!(!at_one(&again).is_empty(), "the new process takes calls");
+    assert!(
+        !calls_at_server_1(&again).is_empty(),
+        "the new process takes calls"
+    );
 }
 
 /// Guards against counting connections that the idle timeout has closed: the next call opens a new
--- a/crates/decisions/tests/behaviour/discovery.rs
+++ b/crates/decisions/tests/behaviour/discovery.rs
@@ -15,7 +15,7 @@
 #[test]
 fn removed_servers_are_forgotten() {
     let mut harness = Harness::new(settings(), &zones(3, 1));
-    let mut size = Vec::new();
+    let mut sizes = Vec::new();
     for round in 1..200 {
         // An attempt is in flight at a server that is removed; its end still finds the server.
         let (id, actions) = harness.request(KEYED_ZONE);
@@ -34,9 +34,14 @@
             );
             harness.end(id, 1, Outcome::Ok, 20 * MS);
         }
-        size.push(format!("{:?}", harness.balancer).len());
+        sizes.push(format!("{:?}", harness.balancer).len());
     }
-    assert!(size[198] < 2 * size[4], "{} then {}", size[4], size[198]);
+    assert!(
+        sizes[198] < 2 * sizes[4],
+        "{} then {}",
+        sizes[4],
+        sizes[198]
+    );
 }
 
 #[test]
--- a/crates/decisions/tests/behaviour/handover.rs
+++ b/crates/decisions/tests/behaviour/handover.rs
@@ -67,10 +67,11 @@
             harness.now += 10 * MS;
             while pending
                 .front()
-                .is_some_and(|(_, sent)| harness.now - sent >= 240 * MS)
+                .is_some_and(|(_, sent_at)| harness.now - sent_at >= 240 * MS)
             {
-                let (id, at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
-                harness.end(id, 0, Outcome::Ok, harness.now - at);
+                let (id, sent_at): (RequestId, u64) =
+                    pending.pop_front().expect("a call is pending");
+                harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
             }
             let (id, actions) = harness.request(SAFE);
             rejections += u32::from(sent_to(&actions).is_none());
@@ -138,7 +139,7 @@
     serve_calls(&mut before, 400);
     let mut list = zones(1, 6);
     list[5].started = Some(before.now);
-    let count = |harness: &mut Harness| {
+    let calls_in_slow_start = |harness: &mut Harness| {
         serve_calls(harness, 200)
             .into_iter()
             .filter(|server| *server == 5)
@@ -149,9 +150,10 @@
     harness.now = before.now;
     harness.handle(Event::ServerList(&list));
     before.handle(Event::ServerList(&list));
-    let (first, second) = (count(&mut before), count(&mut harness));
+    let old_process_calls = calls_in_slow_start(&mut before);
+    let new_process_calls = calls_in_slow_start(&mut harness);
     assert!(
-        first > 0 && second <= first,
-        "{second} beside {first} of 200"
+        old_process_calls > 0 && new_process_calls <= old_process_calls,
+        "{new_process_calls} of 200 calls by the new process, {old_process_calls} by the old one"
     );
 }
--- a/crates/decisions/tests/behaviour/health_verdicts.rs
+++ b/crates/decisions/tests/behaviour/health_verdicts.rs
@@ -106,7 +106,7 @@
 /// may be sent again.
 #[test]
 fn traffic_shares_are_met_and_unsafe_calls_avoid_zones_on_trial() {
-    for (share, class, least, most) in [
+    for (share, class, min_calls, max_calls) in [
         (0.6, SAFE, 500, 700),
         (0.6, UNSAFE, 500, 700),
         (0.25, KEYED_ALL, 180, 320),
@@ -118,7 +118,7 @@
         harness.handle(Event::HealthVerdicts(&[zone(0, share, until)]));
         let local = local_calls(&mut harness, class, 1000);
         assert!(
-            (least..=most).contains(&local),
+            (min_calls..=max_calls).contains(&local),
             "{share} of class {class}: {local}"
         );
     }
--- a/crates/decisions/tests/behaviour/load_probes.rs
+++ b/crates/decisions/tests/behaviour/load_probes.rs
@@ -21,8 +21,8 @@
             "{candidates:?}"
         );
         let mut last = Vec::new();
-        for (at, &server) in candidates.iter().enumerate() {
-            let load = if at == 2 { 0.0 } else { 3.0 };
+        for (position, &server) in candidates.iter().enumerate() {
+            let load = if position == 2 { 0.0 } else { 3.0 };
             last = harness.handle(Event::ProbeEnded(
                 ServerId(server),
                 Outcome::Ok,
@@ -136,9 +136,9 @@
     for load in [0.0, 1.0, 2.0].repeat(10) {
         let (id, actions) = call(&mut harness, load);
         assert!(sent_to(&actions).is_some());
-        let took = (load as u64 + 1) * 100 * MS;
-        harness.now += took;
-        harness.end(id, 0, Outcome::Ok, took);
+        let latency = (load as u64 + 1) * 100 * MS;
+        harness.now += latency;
+        harness.end(id, 0, Outcome::Ok, latency);
     }
     assert!(
         sent_to(&call(&mut harness, 10.0).1).is_some(),
--- a/crates/decisions/tests/behaviour/load_shedding.rs
+++ b/crates/decisions/tests/behaviour/load_shedding.rs
@@ -23,21 +23,23 @@
         }
         if pending
             .front()
-            .is_some_and(|(_, at)| harness.now - at > 20 * MS)
+            .is_some_and(|(_, sent_at)| harness.now - sent_at > 20 * MS)
         {
-            let (id, at) = pending.pop_front().expect("a call is pending");
-            harness.end(id, 0, Outcome::Ok, harness.now - at);
+            let (id, sent_at) = pending.pop_front().expect("a call is pending");
+            harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
         }
     }
-    let longest = pending.front().map_or(0, |(_, at)| harness.now - at);
+    let longest_wait = pending
+        .front()
+        .map_or(0, |(_, sent_at)| harness.now - sent_at);
     assert!(
-        first_rejection.is_some() && longest < 500 * MS,
-        "the oldest waits {} ms",
-        longest / MS
+        first_rejection.is_some() && longest_wait < 500 * MS,
+        "the oldest call waits {} ms",
+        longest_wait / MS
     );
-    while let Some((id, at)) = pending.pop_front() {
+    while let Some((id, sent_at)) = pending.pop_front() {
         harness.now += 2 * MS;
-        harness.end(id, 0, Outcome::Ok, harness.now - at);
+        harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
     }
     harness.warm_up(40);
     assert!((0..20).all(|_| harness.serve(SAFE, 20 * MS).is_some()));
@@ -67,10 +69,10 @@
         }
         if pending
             .front()
-            .is_some_and(|(_, _, sent)| harness.now - sent > 450 * MS)
+            .is_some_and(|(_, _, sent_at)| harness.now - sent_at > 450 * MS)
         {
-            let (id, attempt, sent) = pending.pop_front().expect("a call is pending");
-            harness.end(id, attempt, Outcome::Ok, harness.now - sent);
+            let (id, attempt, sent_at) = pending.pop_front().expect("a call is pending");
+            harness.end(id, attempt, Outcome::Ok, harness.now - sent_at);
         }
     }
     assert!(shed > 100, "{shed} of 600 were shed");
@@ -83,9 +85,9 @@
     let mut harness = Harness::new(settings(), &zones(1, 6));
     for call in 0..200u64 {
         harness.now += 500 * MS;
-        let took = [60, 450, 150, 300][call as usize % 4] * MS;
+        let latency = [60, 450, 150, 300][call as usize % 4] * MS;
         assert!(
-            harness.serve(SAFE, took).is_some(),
+            harness.serve(SAFE, latency).is_some(),
             "call {call} was rejected"
         );
     }
@@ -116,13 +118,14 @@
         harness.now += 10 * MS;
         while pending
             .front()
-            .is_some_and(|(_, sent)| harness.now - sent >= 180 * MS)
+            .is_some_and(|(_, sent_at)| harness.now - sent_at >= 180 * MS)
         {
-            let (id, at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
-            harness.end(id, 0, Outcome::Ok, harness.now - at);
+            let (id, sent_at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
+            harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
         }
         let (id, actions) = harness.request(SAFE);
-        rejections += u32::from(step > 200 && is_rejected(&actions)); // in the first seconds, no rate is known yet
+        // In the first seconds, no rate is known yet.
+        rejections += u32::from(step > 200 && is_rejected(&actions));
         pending.push_back((id, harness.now));
     }
     assert_eq!(rejections, 0);
@@ -140,18 +143,18 @@
     let (mut pending, mut rejections, mut calls) = (Vec::new(), 0, 0);
     for step in 0..20_000 {
         harness.now += 10 * MS;
-        pending.retain(|&(id, at, took)| {
-            let over = harness.now - at >= took;
-            if over {
-                harness.end(id, 0, Outcome::Ok, took);
+        pending.retain(|&(id, sent_at, latency)| {
+            let has_ended = harness.now - sent_at >= latency;
+            if has_ended {
+                harness.end(id, 0, Outcome::Ok, latency);
             }
-            !over
+            !has_ended
         });
         if rng.u32(0..10) == 0 {
             let (id, actions) = harness.request(SAFE);
-            let counts = step > 500; // in the first seconds, no rate is known yet
-            calls += u32::from(counts);
-            rejections += u32::from(counts && is_rejected(&actions));
+            let is_counted = step > 500; // in the first seconds, no rate is known yet
+            calls += u32::from(is_counted);
+            rejections += u32::from(is_counted && is_rejected(&actions));
             pending.push((id, harness.now, rng.u64(40..=400) * MS));
         }
     }
@@ -161,9 +164,9 @@
     );
 }
 
-/// Guards load shedding with hundreds of balancers. Each gets a few requests per second, too few
-/// responses in one second to detect an overload; all balancers together continued to send until no
-/// call was served in time.
+/// Guards load shedding with hundreds of balancers. Each balancer gets a few requests per second,
+/// and too few responses in one second to detect an overload; all balancers together continued to
+/// send until no call was served in time.
 #[test]
 fn balancer_with_few_calls_sheds_in_an_overload() {
     let long = |class: Class| Class {
@@ -180,15 +183,15 @@
     for step in 0..300 {
         // Three calls per second. Responses take 250 ms at first, and in the overload 3 s with a
         // latency target of 2 s.
-        let took = if step < 100 { 250 * MS } else { 3 * SECOND };
+        let latency = if step < 100 { 250 * MS } else { 3 * SECOND };
         harness.now += 333 * MS;
         while pending
             .front()
             .is_some_and(|&(_, _, due)| harness.now >= due)
         {
-            let (id, at, _): (RequestId, u64, u64) =
+            let (id, sent_at, _): (RequestId, u64, u64) =
                 pending.pop_front().expect("a call is pending");
-            harness.end(id, 0, Outcome::Ok, harness.now - at);
+            harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
         }
         let id = RequestId(harness.next_id);
         harness.next_id += 1;
@@ -203,7 +206,7 @@
         rejections += u32::from(is_rejected(&actions));
         assert!(step >= 100 || rejections == 0, "rejected without load");
         if sent_to(&actions).is_some() {
-            pending.push_back((id, harness.now, harness.now + took));
+            pending.push_back((id, harness.now, harness.now + latency));
         }
     }
     assert!(rejections > 20, "{rejections} of 200");
@@ -247,9 +250,9 @@
                 served[class] += u32::from(step > 400);
             }
         }
-        if let (0, Some((id, at))) = (step % 2, pending.front().copied()) {
+        if let (0, Some((id, sent_at))) = (step % 2, pending.front().copied()) {
             pending.pop_front();
-            harness.end(id, 0, Outcome::Ok, harness.now - at);
+            harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
         }
     }
     assert!(served[SAFE] * 10 < served[UNSAFE], "{served:?}");
@@ -276,7 +279,8 @@
     );
     harness.warm_up(100);
     let mut pending = std::collections::VecDeque::new();
-    let mut again = std::collections::VecDeque::<(u64, usize, u32)>::new();
+    // Time, tenant and number of the tries of rejected calls that are tried again.
+    let mut retries = std::collections::VecDeque::<(u64, usize, u32)>::new();
     let (mut requested, mut served) = ([0; 4], [0; 4]);
     // 220 responses per second. Three tenants send 50 calls per second each, while this balancer's
     // part of their quotas is 40; the first tenant sends 1,000. Each call is tried up to three
@@ -286,13 +290,14 @@
         let mut calls: Vec<(usize, u32)> = [0, 0, 0, 0, 0]
             .into_iter()
             .take(step % 4 + 1)
-            .map(|t| (t, 1))
+            .map(|tenant| (tenant, 1))
             .collect();
         if step % 8 < 3 {
             calls.push((step % 8 + 1, 1));
         }
-        while again.front().is_some_and(|&(at, ..)| at <= harness.now) {
-            calls.extend(again.pop_front().map(|(_, tenant, tries)| (tenant, tries)));
+        while retries.front().is_some_and(|&(due, ..)| due <= harness.now) {
+            let retry = retries.pop_front();
+            calls.extend(retry.map(|(_, tenant, tries)| (tenant, tries)));
         }
         for (tenant, tries) in calls {
             let id = RequestId(harness.next_id);
@@ -311,12 +316,12 @@
                 pending.push_back((id, harness.now));
                 served[tenant] += u32::from(step > 2000 && tries == 1);
             } else if tries < 3 {
-                again.push_back((harness.now + 50 * MS, tenant, tries + 1));
+                retries.push_back((harness.now + 50 * MS, tenant, tries + 1));
             }
         }
-        if let (true, Some((id, at))) = (step % 20 < 11, pending.front().copied()) {
+        if let (true, Some((id, sent_at))) = (step % 20 < 11, pending.front().copied()) {
             pending.pop_front();
-            harness.end(id, 0, Outcome::Ok, harness.now - at);
+            harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
         }
     }
     for tenant in 1..4 {
--- a/crates/decisions/tests/behaviour/retries.rs
+++ b/crates/decisions/tests/behaviour/retries.rs
@@ -12,8 +12,9 @@
         harness.serve(SAFE, if call % 5 == 0 { 60 * MS } else { 10 * MS });
     }
     let (_, actions) = harness.request(SAFE);
-    let Some(Action::Send { until, .. }) =
-        actions.iter().find(|a| matches!(a, Action::Send { .. }))
+    let Some(Action::Send { until, .. }) = actions
+        .iter()
+        .find(|action| matches!(action, Action::Send { .. }))
     else {
         panic!("{actions:?}")
     };
--- a/crates/decisions/tests/behaviour/round_robin.rs
+++ b/crates/decisions/tests/behaviour/round_robin.rs
@@ -37,9 +37,9 @@
             continue;
         };
         turns[server as usize] += 1;
-        let took = if server == 0 { 80 * MS } else { 20 * MS };
-        harness.now += took;
-        harness.end(id, 0, Outcome::Ok, took);
+        let latency = if server == 0 { 80 * MS } else { 20 * MS };
+        harness.now += latency;
+        harness.end(id, 0, Outcome::Ok, latency);
     }
     assert!(turns[0] * 3 < turns[1], "{turns:?}");
 }
@@ -107,9 +107,9 @@
     for call in 0..2_000 {
         let (id, actions) = harness.request(SAFE);
         let server = sent_to(&actions).expect("a server is available");
-        let took = if server < 3 { 20 * MS } else { 40 * MS };
-        harness.now += took;
-        harness.end(id, 0, Outcome::Ok, took);
+        let latency = if server < 3 { 20 * MS } else { 40 * MS };
+        harness.now += latency;
+        harness.end(id, 0, Outcome::Ok, latency);
         turns[server as usize] += u32::from(call > 200);
     }
     let (quick, slow) = (
--- a/crates/decisions/tests/behaviour/slow_start.rs
+++ b/crates/decisions/tests/behaviour/slow_start.rs
@@ -41,11 +41,11 @@
         served
     };
     // 50 calls per second over 8 servers, at 0.25 to 0.55 of its capacity for 4 s, are about 10.
-    let (plain, eased) = (calls_in_slow_start(2.0), calls_in_slow_start(4.0));
+    let (plain, doubled) = (calls_in_slow_start(2.0), calls_in_slow_start(4.0));
     assert!((7..=13).contains(&plain), "{plain}");
     assert!(
-        (plain * 3 / 2..=plain * 5 / 2).contains(&eased),
-        "{eased} against {plain}"
+        (plain * 3 / 2..=plain * 5 / 2).contains(&doubled),
+        "{doubled} against {plain}"
     );
 }
 
@@ -62,26 +62,26 @@
     let restarted_at = harness.now;
     let restarted: Vec<_> = zones(1, 4)
         .into_iter()
-        .map(|e| ServerEntry {
+        .map(|entry| ServerEntry {
             started: Some(restarted_at),
-            ..e
+            ..entry
         })
         .collect();
     harness.handle(Event::ServerList(&restarted));
-    let mut sent_by = [0, 0];
+    let mut sent_by_phase = [0, 0];
     for call in 0..600 {
         harness.now += 5 * MS;
-        sent_by[call / 300] += u32::from(harness.serve(SAFE, MS / 10).is_some());
+        sent_by_phase[call / 300] += u32::from(harness.serve(SAFE, MS / 10).is_some());
     }
     // The servers start with a quarter of their capacity and are warm after ten seconds. Their warm
     // share is 14 to 25 of the 200 calls per second; up to 1.8 times as many are sent, and three
     // times as many would overload the servers.
-    let first = f64::from(sent_by[0]) / 1.53;
+    let first_rate = f64::from(sent_by_phase[0]) / 1.53;
     assert!(
-        first > 14.0 && first < 40.0,
-        "{first} per second at first, {sent_by:?}"
+        first_rate > 14.0 && first_rate < 40.0,
+        "{first_rate} per second at first, {sent_by_phase:?}"
     );
-    assert!(sent_by[1] > sent_by[0], "{sent_by:?}");
+    assert!(sent_by_phase[1] > sent_by_phase[0], "{sent_by_phase:?}");
 }
 
 /// Guards restarts during a release: a balancer without measurements still uses servers that are
--- a/crates/decisions/tests/behaviour/zones.rs
+++ b/crates/decisions/tests/behaviour/zones.rs
@@ -44,10 +44,10 @@
         harness.now += 5 * MS;
         while pending
             .front()
-            .is_some_and(|(_, sent)| harness.now - sent >= 20 * MS)
+            .is_some_and(|(_, sent_at)| harness.now - sent_at >= 20 * MS)
         {
-            let (id, at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
-            harness.end(id, 0, Outcome::Ok, harness.now - at);
+            let (id, sent_at): (RequestId, u64) = pending.pop_front().expect("a call is pending");
+            harness.end(id, 0, Outcome::Ok, harness.now - sent_at);
         }
         let bunch = if step > 1000 && step % 20 == 0 { 7 } else { 1 };
         for _ in 0..bunch {
@@ -77,7 +77,8 @@
 /// to trip its breaker, and stayed in a zone where a fifth of the calls failed.
 #[test]
 fn zone_with_many_failures_is_left_though_no_breaker_trips() {
-    let crossings = |every: u32, cross_zone_cost: f64| {
+    // One call in `failure_interval` fails in the local zone.
+    let crossings = |failure_interval: u32, cross_zone_cost: f64| {
         let mut harness = Harness::new(
             Settings {
                 cross_zone_cost,
@@ -85,8 +86,8 @@
             },
             &zones(2, 40),
         );
-        // These calls have the same latency as the later ones, since a zone that slows down would be
-        // left for that reason.
+        // These calls have the same latency as the later ones, since the balancer also leaves a
+        // zone that slows down.
         (0..100).for_each(|_| assert!(harness.serve(SAFE, 100 * MS).is_some()));
         let mut crossings = 0;
         for call in 0..80 {
@@ -96,7 +97,7 @@
             };
             crossings += u32::from(server >= 40);
             harness.now += 100 * MS;
-            let failed = server < 40 && call % every == 0;
+            let failed = server < 40 && call % failure_interval == 0;
             harness.end(
                 id,
                 0,
@@ -132,13 +133,13 @@
         crossed[phase] += u32::from(server >= 12);
         // In the second phase the local zone is slow. In the third phase the other zone becomes as
         // slow with the calls that spill over.
-        let took = match (phase, server < 12) {
+        let latency = match (phase, server < 12) {
             (0, _) => 50 * MS,
             (1, false) => 50 * MS,
             _ => 250 * MS,
         };
-        harness.now += took;
-        harness.end(id, 0, Outcome::Ok, took);
+        harness.now += latency;
+        harness.end(id, 0, Outcome::Ok, latency);
         harness.now += pause;
     }
     assert_eq!(crossed[0], 0, "no call crosses while both zones are fast");
@@ -180,7 +181,7 @@
     let turns = counts((0..400).filter_map(|_| harness.serve(SAFE, 20 * MS)));
     assert_eq!(turns.keys().copied().collect::<Vec<_>>(), [0, 1, 2, 3]);
     assert!(
-        turns.values().all(|&n| (90..=110).contains(&n)),
+        turns.values().all(|&count| (90..=110).contains(&count)),
         "{turns:?}"
     );
 }
@@ -275,7 +276,7 @@
         let local_calls = |harness: &mut Harness| {
             (0..100)
                 .filter_map(|_| harness.serve(SAFE, 50 * MS))
-                .filter(|at| *at < servers)
+                .filter(|server| *server < servers)
                 .count()
         };
         for _ in 0..10 {
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -69,7 +69,10 @@
 /// zone.
 pub fn zones(zones: u8, per_zone: u32) -> Vec<ServerEntry> {
     (0..zones)
-        .flat_map(|z| (0..per_zone).map(move |n| entry(u32::from(z) * per_zone + n, z)))
+        .flat_map(|zone| {
+            let first = u32::from(zone) * per_zone;
+            (first..first + per_zone).map(move |server| entry(server, zone))
+        })
         .collect()
 }
 
@@ -91,12 +94,14 @@
         harness
     }
 
+    /// Passes an event to the balancer, and returns its actions.
     pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
+    /// Sends a request of a class, and returns its id and the resulting actions.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -110,6 +115,7 @@
         (id, self.handle(Event::Request(id, parameters)))
     }
 
+    /// Ends an attempt. A successful outcome is the final response to the request.
     pub fn end(
         &mut self,
         id: RequestId,
@@ -171,6 +177,7 @@
     }
 }
 
+/// The server of the attempt that the actions send, if any.
 pub fn sent_to(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(server.0),
@@ -208,6 +215,7 @@
     }
 }
 
+/// Number of occurrences of each server.
 pub fn counts(servers: impl IntoIterator<Item = u32>) -> BTreeMap<u32, u32> {
     let mut counts = BTreeMap::new();
     for server in servers {
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -65,8 +65,8 @@
     burst: Option<(u32, u64)>,
     /// Time after which each sender is replaced by a new one.
     lifetime: Option<u64>,
-    /// Delay of the first call after the start of the senders.
-    from: u64,
+    /// Time from the start of the senders to the first calls.
+    first_call_after: u64,
 }
 
 impl SenderKind {
@@ -77,12 +77,13 @@
     }
 }
 
-const STEADY: SenderKind = SenderKind {
+/// Default values for the kinds of senders: no calls, bursts or replacements.
+const IDLE: SenderKind = SenderKind {
     count: 0,
     rate: 0.0,
     burst: None,
     lifetime: None,
-    from: 0,
+    first_call_after: 0,
 };
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -107,8 +108,13 @@
     restart: u64,
 }
 
+struct Sender {
+    balancer: Balancer,
+    kind: SenderKind,
+}
+
 struct Fleet {
-    senders: Vec<(Balancer, SenderKind)>,
+    senders: Vec<Sender>,
     settings: Settings,
     servers: u32,
     /// Calls per second that a warm server can handle.
@@ -116,14 +122,17 @@
     /// Servers that restart.
     warming: Vec<u32>,
     /// Time of the restart; `None` before it.
-    started: Option<u64>,
+    restarted_at: Option<u64>,
+    /// Future events, ordered by time and by the order in which they were scheduled.
     queue: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
-    next: u64,
-    ids: u32,
+    /// Number of events scheduled so far.
+    scheduled_events: u64,
+    last_request_id: u32,
     rng: fastrand::Rng,
+    /// Mean time that a server takes for a call.
     service_time: u64,
-    /// Times of the calls to each server in slow start.
-    sent: BTreeMap<u32, Vec<u64>>,
+    /// Times of the calls to each server that restarts.
+    sent_at: BTreeMap<u32, Vec<u64>>,
     rejected: u32,
     served: u32,
 }
@@ -150,27 +159,30 @@
             cell: 0,
             lifecycle: Lifecycle::Ready,
             size: 1.0,
-            started: self.started.filter(|_| self.warming.contains(&server)),
+            started: self.restarted_at.filter(|_| self.warming.contains(&server)),
         };
         (0..self.servers).map(entry).collect()
     }
 
     fn schedule(&mut self, time: u64, event: FleetEvent) {
-        self.next += 1;
-        self.queue.push(Reverse((time, self.next, event)));
+        self.scheduled_events += 1;
+        self.queue
+            .push(Reverse((time, self.scheduled_events, event)));
     }
 
     fn handle(&mut self, now: u64, sender: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.senders[sender].0.handle(now, event, &mut actions);
+        self.senders[sender]
+            .balancer
+            .handle(now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => {
                     if self.warming.contains(&server.0) {
-                        self.sent.entry(server.0).or_default().push(now);
+                        self.sent_at.entry(server.0).or_default().push(now);
                     }
-                    let took = self.service_time / 2 + self.rng.u64(..self.service_time);
-                    self.schedule(now + took, FleetEvent::AttemptEnd(sender, id.0));
+                    let duration = self.service_time / 2 + self.rng.u64(..self.service_time);
+                    self.schedule(now + duration, FleetEvent::AttemptEnd(sender, id.0));
                 }
                 Action::SetTimer { after, token } => {
                     self.schedule(now + after, FleetEvent::Timer(sender, token))
@@ -182,7 +194,7 @@
     }
 
     fn call(&mut self, now: u64, sender: usize) {
-        self.ids += 1;
+        self.last_request_id += 1;
         let class = self.rng.usize(..2);
         let time_left = 1500 * MS;
         let parameters = RequestParameters {
@@ -192,10 +204,12 @@
             work: None,
             max_attempts: u32::MAX,
         };
-        self.handle(now, sender, Event::Request(RequestId(self.ids), parameters));
+        let id = RequestId(self.last_request_id);
+        self.handle(now, sender, Event::Request(id, parameters));
     }
 
-    fn gap(&mut self, rate: f64) -> u64 {
+    /// Draws the time between two calls of a sender that sends `rate` calls per second at random.
+    fn random_interval(&mut self, rate: f64) -> u64 {
         (-(1.0 - self.rng.f64()).ln() / rate * SECOND as f64) as u64
     }
 
@@ -208,13 +222,13 @@
             servers: scenario.servers,
             capacity: total / scenario.load / f64::from(scenario.servers),
             warming: (0..scenario.warming).collect(),
-            started: (scenario.restart == 0).then_some(EPOCH),
+            restarted_at: (scenario.restart == 0).then_some(EPOCH),
             queue: BinaryHeap::new(),
-            next: 0,
-            ids: 0,
+            scheduled_events: 0,
+            last_request_id: 0,
             rng: fastrand::Rng::with_seed(seed),
             service_time: 100 * MS,
-            sent: BTreeMap::new(),
+            sent_at: BTreeMap::new(),
             rejected: 0,
             served: 0,
         }
@@ -237,16 +251,18 @@
     fn add_sender(&mut self, kind: SenderKind) {
         let seed = self.rng.u64(..);
         let balancer = Balancer::new(self.settings.clone(), seed, EPOCH).unwrap();
-        self.senders.push((balancer, kind));
+        self.senders.push(Sender { balancer, kind });
         let sender = self.senders.len() - 1;
         let entries = self.entries();
         self.handle(EPOCH, sender, Event::ServerList(&entries));
         if kind.rate > 0.0 {
-            let gap = self.gap(kind.rate);
-            self.schedule(EPOCH + kind.from + gap, FleetEvent::Call(sender));
+            let interval = self.random_interval(kind.rate);
+            let time = EPOCH + kind.first_call_after + interval;
+            self.schedule(time, FleetEvent::Call(sender));
         }
         if let Some((_, every)) = kind.burst {
-            self.schedule(EPOCH + kind.from.max(every), FleetEvent::Burst(sender));
+            let time = EPOCH + kind.first_call_after.max(every);
+            self.schedule(time, FleetEvent::Burst(sender));
         }
         if let Some(lifetime) = kind.lifetime {
             let age = self.rng.u64(..lifetime);
@@ -264,11 +280,11 @@
                 FleetEvent::Replace(sender) => self.replace_sender(now, sender),
                 FleetEvent::Call(sender) => {
                     self.call(now, sender);
-                    let gap = self.gap(self.senders[sender].1.rate);
-                    self.schedule(now + gap, FleetEvent::Call(sender));
+                    let interval = self.random_interval(self.senders[sender].kind.rate);
+                    self.schedule(now + interval, FleetEvent::Call(sender));
                 }
                 FleetEvent::Burst(sender) => {
-                    let (calls, every) = self.senders[sender].1.burst.unwrap();
+                    let (calls, every) = self.senders[sender].kind.burst.unwrap();
                     (0..calls).for_each(|_| self.call(now, sender));
                     self.schedule(now + every, FleetEvent::Burst(sender));
                 }
@@ -281,7 +297,7 @@
     }
 
     fn restart_servers(&mut self, now: u64) {
-        self.started = Some(now);
+        self.restarted_at = Some(now);
         let entries = self.entries();
         for sender in 0..self.senders.len() {
             self.handle(now, sender, Event::ServerListChange(&entries));
@@ -289,9 +305,9 @@
     }
 
     fn replace_sender(&mut self, now: u64, sender: usize) {
-        let lifetime = self.senders[sender].1.lifetime.unwrap();
+        let lifetime = self.senders[sender].kind.lifetime.unwrap();
         let seed = self.rng.u64(..);
-        self.senders[sender].0 = Balancer::new(self.settings.clone(), seed, now).unwrap();
+        self.senders[sender].balancer = Balancer::new(self.settings.clone(), seed, now).unwrap();
         let entries = self.entries();
         self.handle(now, sender, Event::ServerList(&entries));
         self.schedule(now + lifetime, FleetEvent::Replace(sender));
@@ -309,28 +325,29 @@
         self.handle(now, sender, Event::AttemptEnded(RequestId(id), end));
     }
 
-    /// Calls per second that a server started at `start` can handle at the time `at`.
-    fn capacity_at(&self, at: u64, start: u64) -> f64 {
-        let age = at.saturating_sub(start) as f64;
-        let warm = START_CAPACITY + (1.0 - START_CAPACITY) * age / SLOW_START as f64;
-        self.capacity * warm.min(1.0)
+    /// Calls per second that a server started at `start` can handle at `time`.
+    fn capacity_at(&self, time: u64, start: u64) -> f64 {
+        let age = time.saturating_sub(start) as f64;
+        let warmth = START_CAPACITY + (1.0 - START_CAPACITY) * age / SLOW_START as f64;
+        self.capacity * warmth.min(1.0)
     }
 
     fn outcomes_since(&self, start: u64) -> Outcomes {
         let (mut worst, mut beyond_chance, mut used) = (0.0_f64, f64::NEG_INFINITY, 0);
-        for sent in self.sent.values() {
-            let sent: Vec<u64> = sent.iter().copied().filter(|at| *at >= start).collect();
-            used += sent.len();
-            for (at, &from) in sent.iter().enumerate() {
+        for sent_at in self.sent_at.values() {
+            let sent_at: Vec<u64> = sent_at.iter().copied().filter(|at| *at >= start).collect();
+            used += sent_at.len();
+            for (first, &begin) in sent_at.iter().enumerate() {
                 // Calls are counted over a full window, because a short burst may use up its budget
                 // early.
-                let is_within = |later: &&u64| **later < from + WINDOW;
-                let in_window = sent[at..].iter().take_while(is_within).count() as f64;
-                let middle = self.capacity_at(from + WINDOW / 2, start);
-                worst = worst.max(in_window / (OVERLOAD * middle * WINDOW as f64 / 1e9));
-                let budget = OVERLOAD * self.capacity_at(from, start) * WINDOW as f64 / 1e9;
-                let by_chance = budget + 2.0 * budget.sqrt() + 2.0;
-                beyond_chance = beyond_chance.max(in_window - by_chance);
+                let is_within = |later: &&u64| **later < begin + WINDOW;
+                let in_window = sent_at[first..].iter().take_while(is_within).count() as f64;
+                let capacity_in_middle = self.capacity_at(begin + WINDOW / 2, start);
+                worst =
+                    worst.max(in_window / (OVERLOAD * capacity_in_middle * WINDOW as f64 / 1e9));
+                let limit = OVERLOAD * self.capacity_at(begin, start) * WINDOW as f64 / 1e9;
+                let limit_with_margin = limit + 2.0 * limit.sqrt() + 2.0;
+                beyond_chance = beyond_chance.max(in_window - limit_with_margin);
             }
         }
         Outcomes {
@@ -354,18 +371,18 @@
     let mut worst = 0.0_f64;
     for seed in 1..=5 {
         let Outcomes {
-            worst: most,
+            worst: worst_of_run,
             used,
             served,
             rejected,
             ..
         } = Fleet::run(&scenario, seed);
         println!(
-            "{name}, seed {seed}: {most:.2} of the overload limit, {used} calls to servers in slow start, \
+            "{name}, seed {seed}: {worst_of_run:.2} of the overload limit, {used} calls to servers in slow start, \
              {served} served, {rejected} rejected"
         );
         assert!(used > 0, "{name}: no server in slow start was used");
-        worst = worst.max(most);
+        worst = worst.max(worst_of_run);
     }
     assert!(
         worst < 1.0,
@@ -376,12 +393,12 @@
 const DAEMON: SenderKind = SenderKind {
     count: 1,
     rate: 30.0,
-    ..STEADY
+    ..IDLE
 };
 const PLUGINS: SenderKind = SenderKind {
     count: 200,
     rate: 2.0,
-    ..STEADY
+    ..IDLE
 };
 
 #[test]
@@ -450,7 +467,7 @@
     // The senders are idle during the outage and then all start to send.
     let idle_until_restart = SenderKind {
         rate: 4.0,
-        from: 21 * SECOND,
+        first_call_after: 21 * SECOND,
         ..PLUGINS
     };
     check(
@@ -507,7 +524,7 @@
             rate,
             burst,
             lifetime,
-            ..STEADY
+            ..IDLE
         };
         let scenario = Scenario {
             kinds: &[kind],
--- a/crates/decisions/tests/properties.rs
+++ b/crates/decisions/tests/properties.rs
@@ -84,12 +84,19 @@
     Outcome::Moot,
 ];
 
+#[derive(Clone, Copy, Debug)]
+struct SentAttempt {
+    server: u32,
+    sent_at: u64,
+}
+
 #[derive(Debug)]
 struct Call {
     class: usize,
     attempts: u32,
-    in_flight: Option<(u32, u64)>,
-    may_have_run: Option<(u32, u64)>,
+    in_flight: Option<SentAttempt>,
+    /// First attempt that may have run.
+    may_have_run: Option<SentAttempt>,
     has_response: bool,
     disconnected: bool,
 }
@@ -191,26 +198,31 @@
             Lifecycle::Ready,
             "rule 3: sent to {server:?}"
         );
-        if let Some((first, sent)) = call.may_have_run {
-            let (first, window) = (&self.listed[&first], SECOND);
+        if let Some(first_attempt) = call.may_have_run {
+            let (first, window) = (&self.listed[&first_attempt.server], SECOND);
             match call.class {
                 SAFE => {}
                 UNSAFE => panic!("rule 2: unsafe {id:?} sent again"),
-                _ if now - sent > window => panic!("rule 2: {id:?} sent after its window"),
+                _ if now - first_attempt.sent_at > window => {
+                    panic!("rule 2: {id:?} sent after its window")
+                }
                 KEYED_ZONE => assert_eq!(first.zone, entry.zone, "rule 2: out of the zone"),
                 KEYED_CELL => assert_eq!(first.cell, entry.cell, "rule 2: out of the cell"),
                 _ => {}
             }
         }
         call.attempts += 1;
-        call.in_flight = Some((server.0, now));
+        call.in_flight = Some(SentAttempt {
+            server: server.0,
+            sent_at: now,
+        });
     }
 
     fn in_flight(&self, pick: usize) -> Option<u32> {
         let in_flight: Vec<u32> = self
             .calls
             .iter()
-            .filter(|(_, c)| c.in_flight.is_some())
+            .filter(|(_, call)| call.in_flight.is_some())
             .map(|(id, _)| *id)
             .collect();
         in_flight.get(pick % in_flight.len().max(1)).copied()
@@ -303,7 +315,7 @@
         }
     }
 
-    /// Lists a server. A known server keeps its zone and cell.
+    /// Applies a server list of one entry. A known server keeps its zone and cell.
     fn list(&mut self, entry: ServerEntry, complete: bool) {
         let id = entry.server.0;
         let entry = match self.listed.get(&id) {
@@ -354,14 +366,14 @@
 
     fn end(&mut self, id: u32, outcome: Outcome) {
         let call = self.calls.get_mut(&id).expect("a known request");
-        let (server, sent) = call.in_flight.take().expect("an attempt in flight");
+        let sent = call.in_flight.take().expect("an attempt in flight");
         if !outcome.never_ran() {
-            call.may_have_run = call.may_have_run.or(Some((server, sent)));
+            call.may_have_run = call.may_have_run.or(Some(sent));
         }
         let attempt = call.attempts - 1;
         call.has_response |= outcome == Outcome::Ok && !call.disconnected;
         let closed = call.has_response || call.disconnected;
-        let elapsed = self.harness.now - sent;
+        let elapsed = self.harness.now - sent.sent_at;
         self.handle(Event::AttemptEnded(
             RequestId(id),
             AttemptEnd {
@@ -375,6 +387,7 @@
     }
 }
 
+/// Settings that differ by the bits of `kind`.
 fn settings_of(kind: u8) -> Settings {
     Settings {
         tier: u32::from(kind & 1),
