--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! Upstream selection for requests to language-model services.
 //!
 //! [`Router`] holds the routing state of one balancer: the registered upstreams with this
-//! balancer's own request counts, circuit breakers, retry budgets, zone outages, and the load
+//! balancer's own request counts, circuit breakers, retry budgets and zone outages, and the load
 //! reports of other balancers. For each [`Query`], the router returns a [`Decision`]: the upstream
 //! that the request is forwarded to, or a rejection with a retry delay.
 //!
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -65,15 +65,15 @@
     /// slot.
     fn advance_to(&mut self, now: u64) -> usize {
         let slot_number = now / self.slot_ms;
-        let passed = slot_number
+        let passed_slots = slot_number
             .saturating_sub(self.newest_slot)
             .min(SLOTS as u64);
-        for step in 1..=passed {
+        for step in 1..=passed_slots {
             let slot = ((self.newest_slot + step) % SLOTS as u64) as usize;
             self.requests[slot] = 0;
             self.retries[slot] = 0;
         }
-        if passed > 0 {
+        if passed_slots > 0 {
             self.newest_slot = slot_number;
         }
         (self.newest_slot % SLOTS as u64) as usize
--- a/crates/routing/src/router/fleet_loads.rs
+++ b/crates/routing/src/router/fleet_loads.rs
@@ -92,27 +92,31 @@
     /// all upstreams and adds new prefix placements.
     pub fn set_fleet_loads(&mut self, now: u64, loads: &FleetLoads) {
         self.placements.record_report(now);
-        let load_of: HashMap<u32, FleetLoad> = loads
+        let load_by_upstream: HashMap<u32, FleetLoad> = loads
             .upstreams
             .iter()
             .map(|load| (load.upstream, *load))
             .collect();
-        let mut placements_at: HashMap<u32, Vec<&PrefixPlacement>> = HashMap::new();
+        let mut placements_by_upstream: HashMap<u32, Vec<&PrefixPlacement>> = HashMap::new();
         for placement in &loads.placements {
             if self.placements.insert(placement.number) {
-                placements_at
+                placements_by_upstream
                     .entry(placement.upstream)
                     .or_default()
                     .push(placement);
             }
         }
         for upstream in self.upstreams.values_mut() {
-            let load = load_of.get(&upstream.id_hash);
+            let load = load_by_upstream.get(&upstream.id_hash);
             upstream.reported_load = load.map(|load| ReportedLoad {
-                at: now,
+                received_at: now,
                 load: *load,
             });
-            for placement in placements_at.get(&upstream.id_hash).into_iter().flatten() {
+            for placement in placements_by_upstream
+                .get(&upstream.id_hash)
+                .into_iter()
+                .flatten()
+            {
                 let (prefix_tokens, unshared_tokens) =
                     (placement.prefix_tokens, placement.suffix_tokens);
                 upstream
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,9 +1,9 @@
 //! Routing state of one balancer.
 //!
-//! This module holds the state and follows a request through its decision, activity and end. The
-//! submodules are `registry` (known upstreams), `eligibility` (upstreams that a request may go to),
-//! `regions` (region of a request), `selection` (upstream of a request) and `fleet_loads` (load
-//! reports to and from other balancers).
+//! This module holds the state, and updates it when a request is forwarded, when its upstream sends
+//! data and when its attempt ends. The submodules are `registry` (known upstreams), `eligibility`
+//! (upstreams that a request may go to), `regions` (region of a request), `selection` (upstream of a
+//! request) and `fleet_loads` (load reports to and from other balancers).
 
 mod eligibility;
 mod fleet_loads;
--- a/crates/routing/src/router/registry.rs
+++ b/crates/routing/src/router/registry.rs
@@ -39,14 +39,14 @@
     /// Applies a snapshot of all registrations. Upstreams that the snapshot does not contain are
     /// kept for a while, because the control node that sent it may have just started.
     pub fn apply_snapshot(&mut self, now: u64, registrations: &[Registration]) {
-        let named: BTreeSet<&str> = registrations
+        let confirmed: BTreeSet<&str> = registrations
             .iter()
             .map(|registration| registration.id.as_str())
             .collect();
         for upstream in self
             .upstreams
             .values_mut()
-            .filter(|upstream| !named.contains(&*upstream.id))
+            .filter(|upstream| !confirmed.contains(&*upstream.id))
         {
             upstream.unconfirmed_since.get_or_insert(now);
         }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -95,7 +95,7 @@
 /// Load report of other balancers with its time of arrival.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
-    pub at: u64,
+    pub received_at: u64,
     pub load: FleetLoad,
 }
 
@@ -198,7 +198,7 @@
 
     fn valid_report(&self, now: u64) -> Option<ReportedLoad> {
         self.reported_load
-            .filter(|report| now <= report.at + REPORT_VALIDITY_MS)
+            .filter(|report| now <= report.received_at + REPORT_VALIDITY_MS)
     }
 
     /// Number of prompt tokens that the upstream has yet to prefill: the larger of this balancer's
@@ -218,7 +218,7 @@
         };
         let is_contradicted = self
             .last_activity
-            .is_some_and(|activity| activity + timeout_ms >= report.at);
+            .is_some_and(|activity| activity + timeout_ms >= report.received_at);
         report.load.failing_balancers >= MIN_FAILURE_REPORTS && !is_contradicted
     }
 }
--- a/crates/routing/src/zone_outage.rs
+++ b/crates/routing/src/zone_outage.rs
@@ -40,7 +40,7 @@
     /// Records data from an upstream of a zone, which ends an outage of that zone.
     pub fn record_activity(&mut self, now: u64, zone: &str) {
         match self.last_activity.get_mut(zone) {
-            Some(at) => *at = now,
+            Some(last_activity) => *last_activity = now,
             None => drop(self.last_activity.insert(zone.to_owned(), now)),
         }
         self.down.remove(zone);
@@ -52,8 +52,11 @@
         if !self.down.contains(zone) {
             return;
         }
-        let next = |trial: &Trial| (trial.backoff_ms * 2).min(MAX_TRIAL_BACKOFF_MS);
-        let backoff_ms = self.trials.get(zone).map_or(INITIAL_TRIAL_BACKOFF_MS, next);
+        let next_backoff = |trial: &Trial| (trial.backoff_ms * 2).min(MAX_TRIAL_BACKOFF_MS);
+        let backoff_ms = self
+            .trials
+            .get(zone)
+            .map_or(INITIAL_TRIAL_BACKOFF_MS, next_backoff);
         self.trials.insert(
             zone.to_owned(),
             Trial {
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -8,11 +8,11 @@
 use woadstall_control::shards::short_hash;
 use woadstall_routing::{Outcome, Prompt, Router};
 
-fn reported(id: &str, backlog_tokens: u32, failing: u16) -> FleetLoad {
+fn reported(id: &str, backlog_tokens: u32, failing_balancers: u16) -> FleetLoad {
     FleetLoad {
         upstream: short_hash(id),
         pending_prefill_tokens: backlog_tokens,
-        failing_balancers: failing,
+        failing_balancers,
     }
 }
 
@@ -40,11 +40,11 @@
 #[case::one_balancer(1, true)]
 #[case::two_balancers(2, false)]
 fn an_upstream_that_others_report_as_failing_is_skipped(
-    #[case] failing: u16,
+    #[case] failing_balancers: u16,
     #[case] is_used: bool,
 ) {
     let mut router = router_with(&[("n", 3)]);
-    report(&mut router, 1_000, &[reported("n0", 0, failing)]);
+    report(&mut router, 1_000, &[reported("n0", 0, failing_balancers)]);
     assert_eq!(sends_to(&mut router, 1_000, "n0"), is_used);
 }
 
@@ -171,10 +171,10 @@
     assert_eq!(again.id == first.id, expects_owner);
     // If the backlogs of all upstreams are long, the upstream with the shortest backlog is
     // selected.
-    let all: Vec<FleetLoad> = (0..4)
+    let long_backlogs: Vec<FleetLoad> = (0..4)
         .map(|number| reported(&format!("n{number}"), 90_000 - 1_000 * number, 0))
         .collect();
-    report(&mut router, 20, &all);
+    report(&mut router, 20, &long_backlogs);
     assert_eq!(&*request.target(&mut router, 20).id, "n3");
 }
 
--- a/crates/routing/tests/golden.rs
+++ b/crates/routing/tests/golden.rs
@@ -113,9 +113,11 @@
     digest: Digest,
     now: u64,
     sequence: u64,
-    placement: u32,
+    /// Number of the newest prefix placement in a report.
+    last_placement: u32,
     in_flight: Vec<Target>,
-    /// Coverage counters: the run must reach every kind of decision and every skip reason.
+    /// Number of forwarded requests. The run must reach every kind of decision and every skip
+    /// reason.
     sent: u64,
     rejected: u64,
     skip_reasons: BTreeSet<u64>,
@@ -136,7 +138,7 @@
             digest: Digest(0xcbf2_9ce4_8422_2325),
             now: 1_000,
             sequence: 1,
-            placement: 0,
+            last_placement: 0,
             in_flight: Vec::new(),
             sent: 0,
             rejected: 0,
@@ -163,12 +165,12 @@
         ZONES.into_iter().flat_map(of_zone).collect()
     }
 
-    fn any_registration(&mut self) -> Registration {
+    fn random_registration(&mut self) -> Registration {
         let all = self.all_registrations();
         all[self.draws.below(all.len() as u64) as usize].clone()
     }
 
-    fn any_prompt(&mut self) -> Prompt {
+    fn random_prompt(&mut self) -> Prompt {
         match self.draws.below(3) {
             0 => Prompt::default(),
             1 => Prompt {
@@ -193,7 +195,7 @@
         let route = self.draws.below(self.configuration.routes.len() as u64) as usize;
         let route = self.configuration.routes[route].clone();
         let service = self.configuration.services[&route.targets[0].service].clone();
-        let prompt = self.any_prompt();
+        let prompt = self.random_prompt();
         self.router.record_request(self.now, &service.name);
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
@@ -293,7 +295,7 @@
             0
         };
         let capacity = 1 + self.draws.below(6);
-        let base = self.any_registration();
+        let base = self.random_registration();
         // A deregistered process never registers again; its successor has another id.
         let id = format!("{}-{}", base.id, self.now / 30_000);
         let sequence = self.sequence;
@@ -341,7 +343,7 @@
     fn change_fleet_loads(&mut self) {
         let mut loads = FleetLoads::default();
         for _ in 0..self.draws.below(6) {
-            let upstream = short_hash(&self.any_registration().id);
+            let upstream = short_hash(&self.random_registration().id);
             let (backlog_tokens, failing) =
                 (self.draws.below(30_000) as u32, self.draws.below(4) as u16);
             loads.upstreams.push(FleetLoad {
@@ -349,8 +351,8 @@
                 pending_prefill_tokens: backlog_tokens,
                 failing_balancers: failing,
             });
-            self.placement += 1;
-            let number = self.placement - self.draws.below(2) as u32;
+            self.last_placement += 1;
+            let number = self.last_placement - self.draws.below(2) as u32;
             let prefix_hash = self.draws.below(12) as u32;
             let tokens = 4_000 + 1_000 * prefix_hash;
             loads.placements.push(PrefixPlacement {
@@ -397,7 +399,7 @@
             97 => self.report_loads(),
             _ => self.change_fleet_loads(),
         }
-        let id = self.any_registration().id;
+        let id = self.random_registration().id;
         self.digest.number(u64::from(self.router.is_usable(&id)));
         self.digest.number(self.router.known_upstreams() as u64);
     }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -6,6 +6,7 @@
 use woadstall_control::registry::{Registration, UpstreamStatus};
 use woadstall_routing::{Decision, Fleet, Location, Prompt, Query, Router, RoutingLimits, Target};
 
+/// Hash of the name of the balancer under test.
 pub const OWN: u32 = 1;
 
 pub fn limits() -> RoutingLimits {
