--- a/crates/settings/src/active.rs
+++ b/crates/settings/src/active.rs
@@ -125,7 +125,8 @@
         let mut active = Vec::new();
         let mut successions = Vec::new();
         for (class, name) in new.classes.iter().zip(&new_names.classes) {
-            let is_same = |at: &usize| class_names[*at] == *name && classes[*at] == *class;
+            let is_same =
+                |position: &usize| class_names[*position] == *name && classes[*position] == *class;
             let known = (0..classes.len()).find(is_same);
             let position = known.unwrap_or(classes.len());
             if known.is_none() {
@@ -239,8 +240,8 @@
 }
 
 /// Returns the effect that allows only the repetitions that both effects allow.
-fn stricter(one: Effect, other: Effect) -> Effect {
-    match (one, other) {
+fn stricter(first: Effect, second: Effect) -> Effect {
+    match (first, second) {
         (Effect::Unsafe, _) | (_, Effect::Unsafe) => Effect::Unsafe,
         (Effect::Safe, effect) | (effect, Effect::Safe) => effect,
         (Effect::Keyed(scope, window), Effect::Keyed(other_scope, other_window)) => {
--- a/crates/settings/src/active/tests.rs
+++ b/crates/settings/src/active/tests.rs
@@ -108,8 +108,11 @@
         ),
         (keyed(DedupScope::All, 5), Effect::Unsafe, Effect::Unsafe),
     ];
-    for (one, other, both) in cases {
-        assert_eq!((stricter(one, other), stricter(other, one)), (both, both));
+    for (first, second, expected) in cases {
+        assert_eq!(
+            (stricter(first, second), stricter(second, first)),
+            (expected, expected)
+        );
     }
 }
 
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -220,17 +220,17 @@
 
 #[test]
 fn every_error_of_a_change() {
-    let first = || {
+    let parse_required_keys = || {
         (
             parse_settings(REQUIRED_KEYS.as_bytes()).unwrap(),
             parse_names(REQUIRED_KEYS.as_bytes()).unwrap(),
         )
     };
-    let (now_settings, now_names) = first();
-    let active = ActiveSettings::new(now_settings, now_names);
+    let (initial_settings, initial_names) = parse_required_keys();
+    let active = ActiveSettings::new(initial_settings, initial_names);
     let mut errors = String::new();
     let mut add = |change: &dyn Fn(&mut Settings, &mut Names)| {
-        let (mut settings, mut names) = first();
+        let (mut settings, mut names) = parse_required_keys();
         change(&mut settings, &mut names);
         errors += &(active.apply(&settings, &names).unwrap_err().to_string() + "\n");
     };
@@ -251,9 +251,9 @@
         names.classes.push(names.classes[0].clone());
     });
     add(&|settings, names| {
-        for at in 0..MAX_CLASSES {
+        for number in 0..MAX_CLASSES {
             settings.classes.push(settings.classes[0].clone());
-            names.classes.push(format!("c{at}"));
+            names.classes.push(format!("c{number}"));
         }
     });
     assert_golden("change-errors.txt", &errors);
