--- a/crates/slow-start/src/lease.rs
+++ b/crates/slow-start/src/lease.rs
@@ -128,7 +128,7 @@
         let smallest = self
             .borrowed
             .iter()
-            .min_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
+            .min_by(|(_, a), (_, b)| a.rate.total_cmp(&b.rate));
         let Some((&smallest, _)) = smallest.filter(|(_, borrowed)| borrowed.rate < rate) else {
             return false;
         };
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -2,9 +2,8 @@
 //!
 //! Each sender limits its own rate to the rate at which the destination has answered its requests
 //! on time, multiplied by a growth factor ([`RateController`]). The sum over all senders therefore
-//! follows the proven throughput of the destination, independent of the messages that arrive. The
-//! sum is the same for the parts of a partitioned fleet and for senders that consider each other
-//! stopped.
+//! follows the proven throughput of the destination, independent of the messages that arrive. This
+//! also holds if the fleet is partitioned, or if senders consider each other stopped.
 //!
 //! A sender can lease a part of its rate that it does not need to other senders ([`Lease`]). The
 //! lender reduces its own rate first, and reclaims the leased rate only when the borrower can no
--- a/crates/slow-start/src/rate_controller.rs
+++ b/crates/slow-start/src/rate_controller.rs
@@ -52,7 +52,7 @@
 pub struct ReceivedReport<'a> {
     /// Id of the sender of the report.
     pub from: u64,
-    /// Id of the receiver, which leases to it name as the borrower.
+    /// Id of the receiver. Leases to the receiver name this id as the borrower.
     pub receiver: u64,
     /// The report as it was sent.
     pub report: &'a Report,
@@ -189,16 +189,16 @@
     pub fn grant_leases(&mut self, now: Time, unmet: &[UnmetDemand]) -> Vec<Lease> {
         self.advance(now);
         let spare = self.spare_rate(now);
-        let min_rate = self.settings.min_lease_rate;
-        if spare < min_rate || self.phase(now) == Phase::Shrinking {
+        let min_lease_rate = self.settings.min_lease_rate;
+        if spare < min_lease_rate || self.phase(now) == Phase::Shrinking {
             return Vec::new();
         }
         let borrowers = self.select_borrowers(unmet);
-        let total: f64 = borrowers.iter().map(|borrower| borrower.rate).sum();
+        let total_unmet: f64 = borrowers.iter().map(|borrower| borrower.rate).sum();
         let mut granted = Vec::new();
         for borrower in borrowers {
-            let rate = (spare * borrower.rate / total).min(borrower.rate);
-            if rate >= min_rate {
+            let rate = (spare * borrower.rate / total_unmet).min(borrower.rate);
+            if rate >= min_lease_rate {
                 granted.push(
                     self.leases
                         .grant(now, borrower.sender, rate, &self.settings),
@@ -257,8 +257,9 @@
         Report::new(&self.meter.rates(), self.unmet_demand(now), leases)
     }
 
-    /// Estimates for operators the time in seconds until this sender may send at `rate` requests
-    /// per second, if no requests fail. Infinite if the growth factor does not let the rate grow.
+    /// Returns an estimate for operators: the time in seconds until this sender may send at `rate`
+    /// requests per second if no requests fail. The time is infinite if the growth factor does not
+    /// let the rate grow.
     pub fn seconds_until_rate(&self, now: Time, rate: f64) -> f64 {
         let allowed = self
             .allowed_rate(now)
--- a/crates/slow-start/tests/support/mod.rs
+++ b/crates/slow-start/tests/support/mod.rs
@@ -202,9 +202,9 @@
             .senders
             .iter()
             .enumerate()
-            .map(|(sender, rate)| UnmetDemand {
+            .map(|(sender, controller)| UnmetDemand {
                 sender: sender as u64,
-                rate: rate.unmet_demand(now),
+                rate: controller.unmet_demand(now),
             })
             .collect();
         for from in 0..self.senders.len() {
