--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -36,6 +36,7 @@
     pub(crate) overall_latency: LatencyEstimate,
     /// Latency of a call divided by the calls in flight at its server, in nanoseconds.
     pub(crate) latency_per_in_flight: LatencyEstimate,
+    /// Successful responses of all servers, from which the response rate is computed.
     pub(crate) responses: DecayingSum,
     /// Accepted calls, which are also a source of the call rate until `startup_until`.
     pub(crate) accepted: DecayingSum,
--- a/crates/decisions/src/policy/round_robin.rs
+++ b/crates/decisions/src/policy/round_robin.rs
@@ -1,11 +1,14 @@
 //! Weighted round robin over the servers of a pool, which skips servers that are not available.
+//!
+//! Each pick goes through the pool and proposes servers that have a turn. The first proposed server
+//! that is available gets the call.
 
 use crate::api::{DedupScope, Effect};
 use crate::balancer::Balancer;
 use crate::state::{PendingRequest, PoolIndex, ServerIndex};
 use crate::tuning::{
     BEST_WEIGHT_DECAY, MAX_EXCESS_FAILURE_RATE, MAX_PROPOSALS, MAX_ROUNDS, MIN_SLOWNESS,
-    SERVER_OVERLOAD_RATIO, SUCCESS_RATE_POWER, TRIAL_SHARE,
+    SERVER_OVERLOAD_RATIO, SUCCESS_RATE_EXPONENT, TRIAL_SHARE,
 };
 
 /// Positions in a pool to fall back to if no server is available. Each holds the first position
@@ -159,7 +162,7 @@
         let share = self.traffic_share_of_server(index);
         let server = &mut self.servers[index];
         let speed = server.slowness.max(MIN_SLOWNESS).powi(-2);
-        let weight = server.size * speed * success_rate.powi(SUCCESS_RATE_POWER) * share;
+        let weight = server.size * speed * success_rate.powi(SUCCESS_RATE_EXPONENT) * share;
         // The server of the highest weight takes every turn. The highest weight decays, since its
         // server may have left the pool or slowed down.
         let best = &mut self.pools[pool].best_weight;
--- a/crates/decisions/src/tuning.rs
+++ b/crates/decisions/src/tuning.rs
@@ -116,7 +116,7 @@
 /// Exponent of a server's success rate in its turn weight. The weight has to reduce the calls to a
 /// server that fails half of them at random, because such a server rarely trips its breaker if each
 /// balancer calls it once per second.
-pub(crate) const SUCCESS_RATE_POWER: i32 = 4;
+pub(crate) const SUCCESS_RATE_EXPONENT: i32 = 4;
 /// Excess of a server's failure rate over that of all calls above which calls that must not run
 /// twice avoid the server. Other calls are still sent to it and show when it has recovered.
 pub(crate) const MAX_EXCESS_FAILURE_RATE: f64 = 0.1;
