--- a/crates/decisions/tests/behaviour/breakers.rs
+++ b/crates/decisions/tests/behaviour/breakers.rs
@@ -100,7 +100,7 @@
 /// Guards against treating heavy calls as failures: calls with much work opened the breakers of
 /// healthy servers.
 #[test]
-fn heavy_calls_do_not_trip_a_sound_server() {
+fn heavy_calls_do_not_trip_a_healthy_server() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
     // Mean latency of 20 ms, mean deviation of 10 ms.
     for call in 0..400 {
@@ -136,11 +136,11 @@
     );
 }
 
-/// Guards against timeouts that are shorter than a stall of the caller. With latencies of 1 ms, 20
-/// deviations above the mean are only 1 ms more; a caller that stalled for 20 ms timed out all its
+/// Guards against timeouts that are shorter than a stall of the balancer. With latencies of 1 ms, 20
+/// deviations above the mean are only 1 ms more; a balancer that stalled for 20 ms timed out all its
 /// attempts at once and rejected 200 calls to healthy servers.
 #[test]
-fn stalled_caller_does_not_give_up_sound_servers() {
+fn stalled_balancer_does_not_time_out_calls_to_healthy_servers() {
     let mut harness = Harness::new(settings(), &zones(1, 2));
     for _ in 0..200 {
         harness.serve(SAFE, MS);
--- a/crates/decisions/tests/behaviour/health_verdicts.rs
+++ b/crates/decisions/tests/behaviour/health_verdicts.rs
@@ -90,7 +90,7 @@
 /// Guards against rejecting all calls when verdicts leave no zone any traffic: the zones are then
 /// used nevertheless.
 #[test]
-fn calls_still_go_where_no_zone_has_a_traffic_share() {
+fn calls_are_served_if_no_zone_has_a_traffic_share() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
     harness.warm_up(40);
     let until = harness.now + 40 * SECOND;
@@ -168,7 +168,7 @@
 
 /// Guards rule 2: a verdict on a server does not prove that an unsafe call in flight has not run.
 #[test]
-fn verdicts_prove_nothing_of_a_call_in_flight() {
+fn verdicts_prove_nothing_about_a_call_in_flight() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
     harness.warm_up(40);
     let (id, actions) = harness.request(UNSAFE);
--- a/crates/decisions/tests/behaviour/load_shedding.rs
+++ b/crates/decisions/tests/behaviour/load_shedding.rs
@@ -135,7 +135,7 @@
 /// and a mean latency a little under half of the target, one in fifty calls was rejected, because
 /// the mean length of the few calls in a second varies at random.
 #[test]
-fn few_calls_of_unlike_lengths_are_hardly_shed() {
+fn few_calls_of_different_lengths_are_hardly_shed() {
     let (mut harness, mut rng) = (
         Harness::new(settings(), &zones(1, 12)),
         fastrand::Rng::with_seed(7),
--- a/crates/decisions/tests/behaviour/retries.rs
+++ b/crates/decisions/tests/behaviour/retries.rs
@@ -47,11 +47,11 @@
     assert!(rejections >= 20, "{rejections} of 40 rejected");
 }
 
-/// Guards against rejections because of full connection tables. Hundreds of callers with few calls
+/// Guards against rejections because of full connection tables. Hundreds of balancers with few calls
 /// each fill the tables of some servers; the refused connections used up the retry budgets of the
-/// callers, which then rejected calls although other servers had capacity.
+/// balancers, which then rejected calls although other servers had capacity.
 #[test]
-fn connections_that_do_not_come_up_cost_little_of_the_retry_budget() {
+fn failed_connections_cost_little_of_the_retry_budget() {
     let mut harness = Harness::new(settings(), &zones(1, 12));
     harness.warm_up(50);
     let rng = std::cell::RefCell::new(fastrand::Rng::with_seed(5));
--- a/crates/decisions/tests/behaviour/round_robin.rs
+++ b/crates/decisions/tests/behaviour/round_robin.rs
@@ -82,7 +82,7 @@
 /// Guards against penalizing servers for failures behind the whole tier: if calls fail at all
 /// servers alike, all servers keep their turns.
 #[test]
-fn failures_common_to_all_servers_cost_none_its_turns() {
+fn failures_common_to_all_servers_cost_no_server_its_turns() {
     let mut harness = Harness::new(settings(), &zones(1, 4));
     harness.warm_up(100);
     let (mut rng, mut turns) = (fastrand::Rng::with_seed(3), [0; 4]);
