--- a/crates/engine/tests/properties.rs
+++ b/crates/engine/tests/properties.rs
@@ -8,7 +8,11 @@
 
 const MS: u64 = 1_000_000;
 const START: Time = 1_700_000_000_000 * MS;
-/// Number of classes in the settings: safe, unsafe and keyed, in this order.
+/// Positions of the classes in the settings.
+const SAFE: usize = 0;
+const UNSAFE: usize = 1;
+const KEYED: usize = 2;
+/// Number of classes in the settings.
 const CLASSES: usize = 3;
 
 fn settings(may_cancel: bool, max_attempts: u32) -> Settings {
@@ -180,7 +184,7 @@
                     assert!(!call.is_done, "request {request} got a second response");
                     call.is_done = true;
                     // A rejection guarantees that a retry is harmless.
-                    if matches!(result, CallResult::Rejected(_)) && call.class != 0 {
+                    if matches!(result, CallResult::Rejected(_)) && call.class != SAFE {
                         assert_eq!(
                             call.may_have_run_since, None,
                             "request {request} was rejected although it may have run"
@@ -216,8 +220,8 @@
         // An unsafe request that may have run is not sent again, and a keyed one only within its
         // deduplication window.
         match (call.class, call.may_have_run_since) {
-            (1, Some(_)) => panic!("an unsafe request that may have run was sent again"),
-            (2, Some(since)) => assert!(
+            (UNSAFE, Some(_)) => panic!("an unsafe request that may have run was sent again"),
+            (KEYED, Some(since)) => assert!(
                 self.now < since + 300 * MS,
                 "a keyed request was sent again after its deduplication window"
             ),
@@ -437,7 +441,7 @@
         is_complete: true,
     });
     harness.step(Step::Call {
-        class: 1,
+        class: UNSAFE,
         time_left: 100 * MS,
         max_attempts: u32::MAX,
     });
@@ -466,7 +470,7 @@
     let call = |request| Call {
         id: RequestId(7),
         request,
-        class: 0,
+        class: SAFE,
         tenant: 0,
         work: None,
         deadline: START + 500 * MS,
@@ -501,7 +505,7 @@
         let call = Call {
             id,
             request: (),
-            class: 0,
+            class: SAFE,
             tenant: 0,
             work: None,
             deadline,
