--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -70,8 +70,7 @@
 pub fn zones(zones: u8, per_zone: u32) -> Vec<ServerEntry> {
     (0..zones)
         .flat_map(|zone| {
-            let first = u32::from(zone) * per_zone;
-            (first..first + per_zone).map(move |server| entry(server, zone))
+            (0..per_zone).map(move |number| entry(u32::from(zone) * per_zone + number, zone))
         })
         .collect()
 }
