--- a/crates/decisions/tests/behaviour/health_verdicts.rs
+++ b/crates/decisions/tests/behaviour/health_verdicts.rs
@@ -90,7 +90,7 @@
 /// Guards against rejecting all calls when verdicts leave no zone any traffic: the zones are then
 /// used nevertheless.
 #[test]
-fn calls_still_go_where_no_zone_has_a_traffic_share() {
+fn calls_are_served_if_no_zone_has_a_traffic_share() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
     harness.warm_up(40);
     let until = harness.now + 40 * SECOND;
@@ -106,7 +106,7 @@
 /// may be sent again.
 #[test]
 fn traffic_shares_are_met_and_unsafe_calls_avoid_zones_on_trial() {
-    for (share, class, least, most) in [
+    for (share, class, min_calls, max_calls) in [
         (0.6, SAFE, 500, 700),
         (0.6, UNSAFE, 500, 700),
         (0.25, KEYED_ALL, 180, 320),
@@ -118,7 +118,7 @@
         harness.handle(Event::HealthVerdicts(&[zone(0, share, until)]));
         let local = local_calls(&mut harness, class, 1000);
         assert!(
-            (least..=most).contains(&local),
+            (min_calls..=max_calls).contains(&local),
             "{share} of class {class}: {local}"
         );
     }
@@ -168,7 +168,7 @@
 
 /// Guards rule 2: a verdict on a server does not prove that an unsafe call in flight has not run.
 #[test]
-fn verdicts_prove_nothing_of_a_call_in_flight() {
+fn verdicts_prove_nothing_about_a_call_in_flight() {
     let mut harness = Harness::new(settings(), &zones(3, 4));
     harness.warm_up(40);
     let (id, actions) = harness.request(UNSAFE);
