--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -21,7 +21,8 @@
 }
 
 impl LocalHealth {
-    /// Creates a healthy score. A disabled score never changes.
+    /// Creates the local health of a healthy member. Evidence does not change the score if
+    /// `is_disabled`.
     pub fn new(is_disabled: bool) -> Self {
         Self {
             is_disabled,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -50,9 +50,9 @@
     }
 
     /// The member's status as an update for other members.
-    pub fn update(&self) -> MemberUpdate {
+    pub fn status_update(&self) -> MemberUpdate {
         let suspicion = self.suspicion.as_ref();
-        let by = suspicion.and_then(|suspicion| suspicion.by().next().cloned());
+        let by = suspicion.and_then(|suspicion| suspicion.suspected_by().next().cloned());
         MemberUpdate {
             metadata: self.metadata.clone(),
             status: self.status,
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -137,9 +137,9 @@
     Malformed,
 }
 
-/// Encoded length of a part of a message in bytes.
-pub fn encoded_size(part: &impl Serialize) -> usize {
-    postcard::experimental::serialized_size(part).unwrap_or(usize::MAX)
+/// Encoded length in bytes of a message or of a value that is part of one.
+pub fn encoded_size(value: &impl Serialize) -> usize {
+    postcard::experimental::serialized_size(value).unwrap_or(usize::MAX)
 }
 
 impl Message {
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -330,8 +330,7 @@
     ) -> Vec<MemberMetadata> {
         let mut chosen = self.sample_members(max, &is_eligible);
         if chosen.len() < max {
-            let all = 0..self.members.len();
-            chosen = all
+            chosen = (0..self.members.len())
                 .filter(|index| is_eligible(&self.members[*index]))
                 .collect();
             let (drawn, _) =
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -200,7 +200,7 @@
         let numbers = (0..SHARDS as u8).filter(|shard| is_wanted(*shard));
         let mut updates: BTreeMap<u8, Vec<MemberUpdate>> =
             numbers.map(|shard| (shard, Vec::new())).collect();
-        let members = self.members.values().map(Member::update);
+        let members = self.members.values().map(Member::status_update);
         for update in std::iter::once(self.own_update()).chain(members) {
             if let Some(shard) = updates.get_mut(&shard_of(&update.metadata.name)) {
                 shard.push(update);
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -127,21 +127,21 @@
     }
 
     /// Sends a message with as many queued updates as fit into a datagram, beginning with the
-    /// status of the member `about`. A relay thereby learns of claims against its target, and the
-    /// origin of a probe learns of the target's refutation, so that a single lost update does not
-    /// leave the target suspected.
+    /// status of `subject`, the member that the message concerns. A relay thereby learns of claims
+    /// against its target, and the origin of a probe learns of the target's refutation, so that a
+    /// single lost update does not leave the target suspected.
     pub(super) fn send_about(
         &mut self,
         now: Timestamp,
         to: &MemberMetadata,
         body: Body,
-        about: Option<&Name>,
+        subject: Option<&Name>,
     ) {
         let mut message = self.message(Some(to), body);
         let max_transmissions = self.max_transmissions();
         let max_bytes = self.settings.max_datagram_bytes;
         let mut bytes_left = max_bytes.saturating_sub(encoded_size(&message) + FRAMING_BYTES);
-        for update in self.direct_updates(to, about) {
+        for update in self.direct_updates(to, subject) {
             bytes_left = bytes_left.saturating_sub(encoded_size(&update));
             message.updates.push(update);
         }
@@ -161,18 +161,18 @@
     }
 
     /// Updates that a message carries regardless of the queue: the receiver's own status if other
-    /// than alive, so that the receiver can refute it, and the status of the member `about`.
-    fn direct_updates(&self, to: &MemberMetadata, about: Option<&Name>) -> Vec<MemberUpdate> {
+    /// than alive, so that the receiver can refute it, and the status of the member `subject`.
+    fn direct_updates(&self, to: &MemberMetadata, subject: Option<&Name>) -> Vec<MemberUpdate> {
         if self.settings.plain_swim {
             return Vec::new();
         }
         let receiver = self.members.get(&to.name);
         let receiver = receiver.filter(|member| !member.is_alive());
-        let subject = about.and_then(|name| self.members.get(name));
+        let subject = subject.and_then(|name| self.members.get(name));
         receiver
             .into_iter()
             .chain(subject)
-            .map(Member::update)
+            .map(Member::status_update)
             .collect()
     }
 
--- a/crates/membership/src/node/membership.rs
+++ b/crates/membership/src/node/membership.rs
@@ -57,7 +57,8 @@
         self.gossip_update(update);
     }
 
-    /// Lets an update with a known status confirm a known suspicion.
+    /// Counts an update that repeats a known suspicion as a confirmation of that suspicion by the
+    /// reporting member.
     fn confirm_suspicion(&mut self, update: MemberUpdate, known: MemberStatus) {
         if update.status != known || known.state != MemberState::Suspect {
             return;
--- a/crates/membership/src/node/observations.rs
+++ b/crates/membership/src/node/observations.rs
@@ -58,7 +58,9 @@
             verdict: self.conclude(member, now),
             since: member.since,
             last_reached_at: member.last_reached_at,
-            suspected_by: suspicion.flat_map(|suspicion| suspicion.by()).collect(),
+            suspected_by: suspicion
+                .flat_map(|suspicion| suspicion.suspected_by())
+                .collect(),
         }
     }
 
@@ -101,19 +103,19 @@
     /// the observation lifetime; 1 if there are none.
     fn reached_fraction(&self, now: Timestamp, in_local_zone: bool) -> f64 {
         let lifetime_ns = self.observation_lifetime_ns();
-        let (mut all, mut reached) = (0_u32, 0_u32);
+        let (mut total, mut reached) = (0_u32, 0_u32);
         for member in self.members.values().filter(|member| member.is_present()) {
             if (member.metadata.zone == self.local.zone) != in_local_zone {
                 continue;
             }
             let last_reached_at = member.last_reached_at;
-            all += 1;
+            total += 1;
             reached +=
                 u32::from(last_reached_at.is_some_and(|at| now < at.saturating_add(lifetime_ns)));
         }
-        match all {
+        match total {
             0 => 1.0,
-            _ => f64::from(reached) / f64::from(all),
+            _ => f64::from(reached) / f64::from(total),
         }
     }
 }
--- a/crates/membership/src/node/partitions.rs
+++ b/crates/membership/src/node/partitions.rs
@@ -44,7 +44,7 @@
 
 /// Number of partitioned pairs between two zones, as reported by either zone.
 #[derive(Clone, Copy, Debug, Default)]
-struct Reports {
+struct ReportedPartitions {
     by_senders: u64,
     by_receivers: u64,
 }
@@ -86,11 +86,11 @@
             if !member.paths.is_partitioned(now, lifetime_ns) {
                 continue;
             }
-            let is_partitioned = |path| u16::from(path == PathState::Partitioned);
+            let partition_count = |path| u16::from(path == PathState::Partitioned);
             let (outbound, inbound) = zones.entry(&member.metadata.zone).or_default();
             let paths = &member.paths;
-            *outbound = outbound.saturating_add(is_partitioned(paths.outbound(now, lifetime_ns)));
-            *inbound = inbound.saturating_add(is_partitioned(paths.inbound(now, lifetime_ns)));
+            *outbound = outbound.saturating_add(partition_count(paths.outbound(now, lifetime_ns)));
+            *inbound = inbound.saturating_add(partition_count(paths.inbound(now, lifetime_ns)));
         }
         let rows = zones
             .into_iter()
@@ -147,7 +147,7 @@
     }
 
     /// Partitions reported by the local member and by the records of other members.
-    fn partition_reports(&self, now: Timestamp) -> BTreeMap<ZonePair, Reports> {
+    fn partition_reports(&self, now: Timestamp) -> BTreeMap<ZonePair, ReportedPartitions> {
         let published = self
             .records()
             .filter(|(owner, key, _)| key.as_str() == PARTITIONS_KEY && **owner != self.local.name);
@@ -157,7 +157,7 @@
             member.is_alive().then_some((&member.metadata.zone, rows))
         });
         let own = (&self.local.zone, self.observed_partitions(now));
-        let mut reports: BTreeMap<ZonePair, Reports> = BTreeMap::new();
+        let mut reports: BTreeMap<ZonePair, ReportedPartitions> = BTreeMap::new();
         for (zone, rows) in published.chain([own]) {
             for row in rows {
                 let outbound = (zone.clone(), row.zone.clone());
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -108,7 +108,7 @@
             }
         }
         if probe.target_was_alive {
-            self.record_probe(false);
+            self.record_probe_result(false);
         }
         let lifetime_ns = self.observation_lifetime_ns();
         let since = probe.started_at.saturating_sub(self.probe_round_ns());
@@ -138,13 +138,13 @@
             return;
         };
         self.local_health.improve();
-        self.record_probe(true);
+        self.record_probe_result(true);
         if let Some(member) = self.members.get_mut(&probe.target.name) {
             member.last_reached_at = Some(now);
         }
     }
 
-    fn record_probe(&mut self, succeeded: bool) {
+    fn record_probe_result(&mut self, succeeded: bool) {
         self.recent_probes.push_back(succeeded);
         if self.recent_probes.len() > MAX_RECENT_PROBES {
             self.recent_probes.pop_front();
@@ -187,8 +187,8 @@
     ) {
         let Some(origin) = origin else {
             if let Some(member) = self.members.get_mut(&from.name) {
-                let last = &mut member.paths.last_direct_sequence;
-                *last = (*last).max(sequence);
+                let paths = &mut member.paths;
+                paths.last_direct_sequence = paths.last_direct_sequence.max(sequence);
             }
             let last_direct_sequence = sequence;
             let ack = Body::Ack {
--- a/crates/membership/src/node/receiving.rs
+++ b/crates/membership/src/node/receiving.rs
@@ -44,7 +44,7 @@
         if is_local_name {
             return;
         }
-        self.record_sender(now, &from);
+        self.record_contact(now, &from);
         for update in updates {
             self.apply_update(now, update);
         }
@@ -61,13 +61,15 @@
         }
     }
 
+    /// Whether a message addressed to `to` is for the local member's current generation.
     fn is_for_local(&self, to: Option<(Name, Generation)>) -> bool {
         to.is_none_or(|(name, generation)| {
             name == self.local.name && generation == self.local.generation
         })
     }
 
-    fn record_sender(&mut self, now: Timestamp, from: &MemberMetadata) {
+    /// Records that a message arrived directly from the sender.
+    fn record_contact(&mut self, now: Timestamp, from: &MemberMetadata) {
         let member = self.members.get_mut(&from.name);
         let member = member.filter(|member| member.status.generation == from.generation);
         if let Some(member) = member {
--- a/crates/membership/src/node/relaying.rs
+++ b/crates/membership/src/node/relaying.rs
@@ -83,8 +83,8 @@
         }
         for zone in zones {
             if chosen.len() < max {
-                let is_there = |relay: &_| zone.contains(relay, &self.local, target);
-                chosen.extend(take_first(&mut candidates, is_there));
+                let is_in_zone = |relay: &_| zone.contains(relay, &self.local, target);
+                chosen.extend(take_first(&mut candidates, is_in_zone));
             }
         }
         let missing = max.saturating_sub(chosen.len());
@@ -180,10 +180,10 @@
     /// Sends a nack to the origin of each relayed probe whose target has not answered in time.
     pub(super) fn end_relayed_probes(&mut self, now: Timestamp) {
         let relayed = std::mem::take(&mut self.relayed_probes);
-        let (over, in_flight) = relayed.into_iter().partition(|probe| now >= probe.ends_at);
+        let (unanswered, in_flight): (Vec<RelayedProbe>, Vec<RelayedProbe>) =
+            relayed.into_iter().partition(|probe| now >= probe.ends_at);
         self.relayed_probes = in_flight;
-        let over: Vec<RelayedProbe> = over;
-        for probe in over {
+        for probe in unanswered {
             let sequence = probe.origin_sequence;
             self.send(now, &probe.origin, Body::Nack { sequence });
         }
--- a/crates/membership/src/node/suspicions.rs
+++ b/crates/membership/src/node/suspicions.rs
@@ -15,8 +15,8 @@
 const MASS_FAILURE_DIVISOR: usize = 3;
 /// Time in nanoseconds between two notifications of a suspected member.
 const NOTIFICATION_INTERVAL_NS: u64 = 2_000_000_000;
-/// Time in nanoseconds after a refused connection in which connections to other silent members are
-/// checked, too.
+/// Time in nanoseconds after a refused connection during which the connections to other
+/// unresponsive members are checked as well.
 const REFUSAL_LIFETIME_NS: u64 = 5_000_000_000;
 /// Time in nanoseconds without contact after which a member counts as unresponsive.
 const UNRESPONSIVE_AFTER_NS: u64 = 1_000_000_000;
@@ -29,8 +29,8 @@
     /// Whether verdicts are deferred because the local member or the network was recently impaired.
     is_deferred: bool,
     plain_swim: bool,
-    /// Duration of a final probe in nanoseconds.
-    probe_interval_ns: u64,
+    /// Time in nanoseconds within which a suspected member can answer its final probe.
+    final_probe_ns: u64,
 }
 
 impl Evaluation {
@@ -44,13 +44,13 @@
             && (member.connection_refused || is_unresponsive || self.plain_swim)
     }
 
-    /// Whether the final probe of a member is over or unnecessary, so that its death may be
-    /// declared.
-    fn is_final(&self, member: &Member) -> bool {
+    /// Whether the final probe of a member with an expired suspicion is over or unnecessary, so
+    /// that its death may be declared.
+    fn may_declare_dead(&self, member: &Member) -> bool {
         let suspicion = member.suspicion.as_ref();
         let probed_at = suspicion.and_then(|suspicion| suspicion.final_probe_at);
         let is_over =
-            probed_at.is_some_and(|at| self.now >= at.saturating_add(self.probe_interval_ns));
+            probed_at.is_some_and(|at| self.now >= at.saturating_add(self.final_probe_ns));
         self.plain_swim || member.connection_refused || is_over
     }
 }
@@ -141,10 +141,13 @@
         let evaluation = self.start_evaluation(now, is_isolated);
         let expired = self.suspected_members();
         let expired = expired.filter(|member| evaluation.has_expired(member));
-        let (dead, unconfirmed): (Vec<&Member>, Vec<&Member>) =
-            expired.partition(|member| evaluation.is_final(member));
-        let dead: Vec<MemberUpdate> = dead.iter().map(|member| self.death_of(member)).collect();
-        let to_probe: Vec<MemberMetadata> = unconfirmed
+        let (dead, undecided): (Vec<&Member>, Vec<&Member>) =
+            expired.partition(|member| evaluation.may_declare_dead(member));
+        let deaths: Vec<MemberUpdate> = dead
+            .iter()
+            .map(|member| self.death_update(member))
+            .collect();
+        let to_probe: Vec<MemberMetadata> = undecided
             .into_iter()
             .filter(|member| needs_final_probe(member))
             .map(|member| member.metadata.clone())
@@ -155,7 +158,7 @@
         if !evaluation.plain_swim {
             self.notify_suspects(now);
         }
-        for update in dead {
+        for update in deaths {
             self.apply_update(now, update);
         }
     }
@@ -181,11 +184,11 @@
             is_doubtful,
             is_deferred: now < self.verdicts_deferred_at.saturating_add(deferral),
             plain_swim,
-            probe_interval_ns: self.scaled_probe_interval_ns(),
+            final_probe_ns: self.scaled_probe_interval_ns(),
         }
     }
 
-    fn death_of(&self, member: &Member) -> MemberUpdate {
+    fn death_update(&self, member: &Member) -> MemberUpdate {
         let status = MemberStatus {
             state: MemberState::Dead,
             ..member.status
@@ -197,9 +200,9 @@
         }
     }
 
-    /// Notifies suspected members again by a ping. A suspected member may have missed its
-    /// suspicion, or the local member the refutation, for example during a partition that has just
-    /// ended.
+    /// Notifies suspected members again by a ping. A suspected member may have missed the message
+    /// that it is suspected, or the local member may have missed the refutation, for example during
+    /// a partition that has just ended.
     fn notify_suspects(&mut self, now: Timestamp) {
         let mut targets = Vec::new();
         for name in &self.suspected {
@@ -239,10 +242,10 @@
         }
         let succeeded = self.recent_probes.iter().filter(|succeeded| **succeeded);
         let (succeeded, probes) = (succeeded.count(), self.recent_probes.len());
-        let has_nobody_alive =
+        let has_no_alive_member =
             !self.members.is_empty() && !self.members.values().any(|member| member.is_alive());
         let has_enough_probes = probes >= self.min_recent_probes();
-        has_nobody_alive && succeeded == 0 || has_enough_probes && succeeded * 4 < probes
+        has_no_alive_member && succeeded == 0 || has_enough_probes && succeeded * 4 < probes
     }
 }
 
--- a/crates/membership/src/paths.rs
+++ b/crates/membership/src/paths.rs
@@ -19,18 +19,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PathObservation {
     state: PathState,
-    at: Timestamp,
+    observed_at: Timestamp,
 }
 
 impl PathObservation {
-    fn open(at: Timestamp) -> Self {
+    fn open(observed_at: Timestamp) -> Self {
         let state = PathState::Open;
-        Self { state, at }
+        Self { state, observed_at }
     }
 
-    fn partitioned(at: Timestamp) -> Self {
+    fn partitioned(observed_at: Timestamp) -> Self {
         let state = PathState::Partitioned;
-        Self { state, at }
+        Self { state, observed_at }
     }
 }
 
@@ -64,9 +64,12 @@
     }
 
     /// Records an indirect acknowledgement: a relay reached the other member, but the direct ping
-    /// `sequence` was not acknowledged directly. `last_received` is the sequence number of the last
-    /// direct ping that the other member received from the local one. A message received within the
-    /// last `recent_ns` nanoseconds shows that the inbound direction is open.
+    /// `sequence` was not acknowledged directly. `last_direct_sequence` is the sequence number of
+    /// the last direct ping that the other member received from the local one. A message received
+    /// within the last `recent_ns` nanoseconds shows that the inbound direction is open.
+    ///
+    /// A failed probe of a member that still sends messages is recorded in the same way, with 0 as
+    /// `last_direct_sequence`.
     ///
     /// Returns whether enough consecutive indirect acknowledgements were recorded to rule out a
     /// lost message.
@@ -74,10 +77,10 @@
         &mut self,
         now: Timestamp,
         sequence: u64,
-        last_received: u64,
+        last_direct_sequence: u64,
         recent_ns: u64,
     ) -> bool {
-        let was_delivered = last_received >= sequence && sequence > 0;
+        let was_delivered = last_direct_sequence >= sequence && sequence > 0;
         self.consecutive_indirect_acks = self.consecutive_indirect_acks.saturating_add(1);
         if was_delivered {
             self.outbound = Some(PathObservation::open(now));
@@ -92,7 +95,7 @@
         // is partitioned, unless another message arrived on it recently. An undelivered ping says
         // nothing about the inbound direction.
         let is_recently_open = self.inbound.is_some_and(|inbound| {
-            inbound.state == PathState::Open && now < inbound.at.saturating_add(recent_ns)
+            inbound.state == PathState::Open && now < inbound.observed_at.saturating_add(recent_ns)
         });
         if was_delivered && !is_recently_open {
             self.inbound = Some(PathObservation::partitioned(now));
@@ -103,7 +106,8 @@
     /// Whether a direct message from the other member arrived at or after `since`.
     pub fn received_since(&self, since: Timestamp) -> bool {
         let inbound = self.inbound;
-        inbound.is_some_and(|inbound| inbound.state == PathState::Open && inbound.at >= since)
+        inbound
+            .is_some_and(|inbound| inbound.state == PathState::Open && inbound.observed_at >= since)
     }
 
     /// Whether the most recent acknowledgement arrived only through a relay.
@@ -133,7 +137,7 @@
     }
 
     fn current(path: Option<PathObservation>, now: Timestamp, lifetime_ns: u64) -> PathState {
-        path.filter(|path| now < path.at.saturating_add(lifetime_ns))
+        path.filter(|path| now < path.observed_at.saturating_add(lifetime_ns))
             .map_or(PathState::Unknown, |path| path.state)
     }
 }
--- a/crates/membership/src/records.rs
+++ b/crates/membership/src/records.rs
@@ -48,8 +48,12 @@
     TooMany,
 }
 
-/// Owner and key of a record.
-type RecordId = (Name, Name);
+/// Owner and key, which together identify a record.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RecordId {
+    owner: Name,
+    key: Name,
+}
 
 /// A token bucket that limits the bytes sent for records.
 #[derive(Clone, Copy, Debug, Default)]
@@ -97,7 +101,10 @@
         if value.len() > settings.max_record_bytes {
             return Err(PublishError::TooLong);
         }
-        let id = (local.name.clone(), key);
+        let id = RecordId {
+            owner: local.name.clone(),
+            key,
+        };
         let count = self.ids_of(&local.name).count();
         if !self.records.contains_key(&id) && count >= settings.max_records_per_owner {
             return Err(PublishError::TooMany);
@@ -116,8 +123,8 @@
 
     /// Publishes all records of the local member anew after it has started a new generation.
     pub fn republish(&mut self, now: Timestamp, local: &MemberMetadata) {
-        let own: Vec<RecordId> = self.ids_of(&local.name).cloned().collect();
-        for id in own {
+        let own_ids: Vec<RecordId> = self.ids_of(&local.name).cloned().collect();
+        for id in own_ids {
             if let Some(mut record) = self.records.remove(&id) {
                 self.last_version += 1;
                 record.generation = local.generation;
@@ -129,11 +136,11 @@
     }
 
     fn ids_of<'a>(&'a self, owner: &'a Name) -> impl Iterator<Item = &'a RecordId> {
-        self.records.keys().filter(move |(of, _)| of == owner)
+        self.records.keys().filter(move |id| id.owner == *owner)
     }
 
     fn insert(&mut self, id: RecordId, record: Record) {
-        let (owner, key) = (id.0.as_str(), id.1.as_str());
+        let (owner, key) = (id.owner.as_str(), id.key.as_str());
         let bytes = record.value.len() + owner.len() + key.len() + RECORD_OVERHEAD_BYTES;
         self.queue
             .enqueue(id.clone(), id.clone(), bytes, record.priority);
@@ -154,13 +161,16 @@
             self.dropped += u64::from(generation.is_some());
             return false;
         }
-        let id = (update.owner, update.key);
+        let id = RecordId {
+            owner: update.owner,
+            key: update.key,
+        };
         let known = self.records.get(&id);
         let known = known.map(|record| (record.generation, record.version));
         if known.is_some_and(|known| known >= (update.generation, update.version)) {
             return false;
         }
-        if known.is_none() && !self.has_capacity_for(&id.0, update.priority, settings) {
+        if known.is_none() && !self.make_room(&id.owner, update.priority, settings) {
             self.dropped += 1;
             return false;
         }
@@ -176,9 +186,9 @@
         true
     }
 
-    /// Whether another record of `owner` fits within the limits. Evicts a record of lower priority
-    /// if necessary.
-    fn has_capacity_for(&mut self, owner: &Name, priority: u8, settings: &Settings) -> bool {
+    /// Makes room for another record of `owner`, if necessary by evicting a record of a priority
+    /// lower than `priority`. Returns whether the record fits within the limits.
+    fn make_room(&mut self, owner: &Name, priority: u8, settings: &Settings) -> bool {
         if self.records.len() >= settings.max_records && !self.evict(owner, priority) {
             return false;
         }
@@ -188,10 +198,11 @@
     /// Evicts the oldest record of the lowest priority among other owners, provided that its
     /// priority is lower than `priority`. Returns whether a record was evicted.
     fn evict(&mut self, owner: &Name, priority: u8) -> bool {
-        let others = self.records.iter();
-        let others = others.filter(|((of, _), record)| of != owner && record.priority < priority);
-        let least = others.min_by_key(|(_, record)| (record.priority, record.published_at));
-        let Some(id) = least.map(|(id, _)| id.clone()) else {
+        let records = self.records.iter();
+        let evictable =
+            records.filter(|(id, record)| id.owner != *owner && record.priority < priority);
+        let victim = evictable.min_by_key(|(_, record)| (record.priority, record.published_at));
+        let Some(id) = victim.map(|(id, _)| id.clone()) else {
             return false;
         };
         self.queue.remove(&id);
@@ -203,7 +214,7 @@
     pub fn retain(&mut self, is_kept: impl Fn(&Name, Generation) -> bool) {
         let queue = &mut self.queue;
         self.records.retain(|id, record| {
-            let keep = is_kept(&id.0, record.generation);
+            let keep = is_kept(&id.owner, record.generation);
             if !keep {
                 queue.remove(id);
             }
@@ -211,7 +222,8 @@
         });
     }
 
-    /// Takes the records to piggyback in at most `max_bytes`, within the permitted rate.
+    /// Takes queued records to piggyback on a message, at most `max_bytes` together and within the
+    /// permitted rate.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -222,20 +234,23 @@
         self.allowance.refill(now, settings.record_bytes_per_second);
         let max_bytes = max_bytes.min(self.allowance.available_bytes as usize);
         let ids = self.queue.take(max_bytes, max_transmissions);
-        let updates: Vec<RecordUpdate> = ids.iter().filter_map(|id| self.update(now, id)).collect();
+        let updates: Vec<RecordUpdate> = ids
+            .iter()
+            .filter_map(|id| self.record_update(now, id))
+            .collect();
         let bytes = updates.iter().map(|update| encoded_size(update) as f64);
         self.allowance.available_bytes -= bytes.sum::<f64>();
         updates
     }
 
-    fn update(&self, now: Timestamp, id: &RecordId) -> Option<RecordUpdate> {
+    fn record_update(&self, now: Timestamp, id: &RecordId) -> Option<RecordUpdate> {
         let record = self.records.get(id)?;
         let age_ms = now.saturating_sub(record.published_at) / 1_000_000;
         Some(RecordUpdate {
-            owner: id.0.clone(),
+            owner: id.owner.clone(),
             generation: record.generation,
             version: record.version,
-            key: id.1.clone(),
+            key: id.key.clone(),
             priority: record.priority,
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
             value: record.value.clone(),
@@ -248,19 +263,23 @@
         now: Timestamp,
         is_owner: impl Fn(&Name) -> bool,
     ) -> Vec<RecordUpdate> {
-        let ids = self.records.keys().filter(|(owner, _)| is_owner(owner));
-        ids.filter_map(|id| self.update(now, id)).collect()
+        let ids = self.records.keys().filter(|id| is_owner(&id.owner));
+        ids.filter_map(|id| self.record_update(now, id)).collect()
     }
 
     /// All records with their owners and keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Name, &Record)> {
         let records = self.records.iter();
-        records.map(|((owner, key), record)| (owner, key, record))
+        records.map(|(id, record)| (&id.owner, &id.key, record))
     }
 
     /// The record of `owner` under `key`, if known.
     pub fn get(&self, owner: &Name, key: &Name) -> Option<&Record> {
-        self.records.get(&(owner.clone(), key.clone()))
+        let id = RecordId {
+            owner: owner.clone(),
+            key: key.clone(),
+        };
+        self.records.get(&id)
     }
 
     /// Number of records that were ignored, or evicted in favour of records of higher priority.
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -17,7 +17,8 @@
     max_ns: u64,
     /// Number of confirmations that reduce the duration to the minimum.
     confirmations_needed: usize,
-    by: BTreeSet<Name>,
+    /// Names of the members that share the suspicion.
+    suspected_by: BTreeSet<Name>,
     /// Time at which the final probe was sent, after the suspicion had expired without a
     /// refutation.
     pub final_probe_at: Option<Timestamp>,
@@ -26,21 +27,21 @@
 }
 
 impl Suspicion {
-    /// Creates a suspicion that starts at `now` in a fleet of `fleet` members, raised while the
-    /// local health multiplier is `health_multiplier`.
+    /// Creates a suspicion that starts at `now` in a fleet of `fleet_size` members, raised while
+    /// the local health multiplier is `health_multiplier`.
     pub fn new(
         now: Timestamp,
         settings: &Settings,
-        fleet: usize,
+        fleet_size: usize,
         health_multiplier: u32,
         by: Option<Name>,
     ) -> Self {
-        let size_factor = (fleet.max(1) as f64).log10().max(1.0);
+        let size_factor = (fleet_size.max(1) as f64).log10().max(1.0);
         let min = nanos(settings.suspicion_timeout) as f64 * size_factor;
         // A small fleet may have no members left to confirm the suspicion.
         let confirmations_needed = match settings.plain_swim {
             true => 0,
-            false => settings.confirmations.min(fleet.saturating_sub(3)),
+            false => settings.confirmations.min(fleet_size.saturating_sub(3)),
         };
         let unconfirmed = match confirmations_needed {
             0 => 1.0,
@@ -52,7 +53,7 @@
             min_ns: min as u64,
             max_ns: max as u64,
             confirmations_needed,
-            by: by.into_iter().collect(),
+            suspected_by: by.into_iter().collect(),
             final_probe_at: None,
             notified_at: now,
         }
@@ -61,7 +62,7 @@
     /// Adds a confirmation by another member. Returns whether the confirmation is worth gossiping.
     pub fn confirm(&mut self, by: Name) -> bool {
         // Further confirmations would not shorten the suspicion.
-        self.by.len() <= self.confirmations_needed && self.by.insert(by)
+        self.suspected_by.len() <= self.confirmations_needed && self.suspected_by.insert(by)
     }
 
     /// Time at which the suspicion expires unless the member refutes it.
@@ -69,7 +70,7 @@
         if self.confirmations_needed == 0 {
             return self.started_at.saturating_add(self.min_ns);
         }
-        let confirmations = self.by.len().saturating_sub(1);
+        let confirmations = self.suspected_by.len().saturating_sub(1);
         let confirmations = confirmations.min(self.confirmations_needed);
         let needed = self.confirmations_needed as f64;
         let progress = (confirmations as f64 + 1.0).ln() / (needed + 1.0).ln();
@@ -109,7 +110,7 @@
     }
 
     /// Names of the members that share the suspicion, in alphabetical order.
-    pub fn by(&self) -> impl Iterator<Item = &Name> {
-        self.by.iter()
+    pub fn suspected_by(&self) -> impl Iterator<Item = &Name> {
+        self.suspected_by.iter()
     }
 }
