--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -40,17 +40,17 @@
 }
 
 enum ScheduledEvent {
-    /// The deadline of a member's generation.
+    /// The next deadline of a member, ignored if a later generation of the member has started.
     Deadline { member: usize, generation: u64 },
     /// The arrival of a message.
     Delivery { to: usize, bytes: Vec<u8> },
-    /// A refused connection, sent by the host of a dead member.
-    Refusal { of: usize, to: usize },
+    /// A refusal of a connection by the host of a dead member.
+    Refusal { dead: usize, to: usize },
 }
 
 /// A sent message with its sender and the time of sending.
 pub struct Sent {
-    pub at: u64,
+    pub sent_at: u64,
     pub from: usize,
     pub message: OutgoingMessage,
 }
@@ -68,11 +68,12 @@
     pub sent: Vec<Sent>,
     pub is_recording: bool,
     /// Total length of all sent messages in bytes.
-    pub bytes: u64,
+    pub bytes_sent: u64,
     default_link: Link,
     links: BTreeMap<(usize, usize), Link>,
-    /// Messages queued for each paused member.
+    /// Messages queued for each member that is paused; `None` for members that run.
     paused: Vec<Option<Vec<Vec<u8>>>>,
+    /// Events by their time and, at the same time, in the order in which they were scheduled.
     scheduled_events: BTreeMap<(u64, u64), ScheduledEvent>,
     scheduled_count: u64,
     rng: ChaCha8Rng,
@@ -120,7 +121,7 @@
             events: Vec::new(),
             sent: Vec::new(),
             is_recording: false,
-            bytes: 0,
+            bytes_sent: 0,
             default_link: Link {
                 delay: MS / 4,
                 jitter: MS,
@@ -203,15 +204,15 @@
         self.nodes[member].as_mut().unwrap()
     }
 
-    fn schedule(&mut self, at: u64, event: ScheduledEvent) {
+    fn schedule(&mut self, due_at: u64, event: ScheduledEvent) {
         self.scheduled_count += 1;
         self.scheduled_events
-            .insert((at, self.scheduled_count), event);
+            .insert((due_at, self.scheduled_count), event);
     }
 
     fn deliver(&mut self, to: usize, bytes: &[u8]) {
         match (&mut self.paused[to], &mut self.nodes[to]) {
-            (Some(waiting), _) if waiting.len() < SOCKET_BUFFER => waiting.push(bytes.to_vec()),
+            (Some(queued), _) if queued.len() < SOCKET_BUFFER => queued.push(bytes.to_vec()),
             (Some(_), _) | (None, None) => {}
             (None, Some(node)) => {
                 node.receive(self.now, bytes).unwrap();
@@ -239,10 +240,10 @@
 
     fn send(&mut self, from: usize, message: OutgoingMessage) {
         let bytes = message.bytes.len();
-        self.bytes += bytes as u64;
+        self.bytes_sent += bytes as u64;
         if self.is_recording {
             self.sent.push(Sent {
-                at: self.now,
+                sent_at: self.now,
                 from,
                 message: message.clone(),
             });
@@ -250,7 +251,7 @@
         let max_bytes = self.settings.max_datagram_bytes;
         assert!(message.reliable || bytes <= max_bytes, "{bytes}");
         let to = usize::from(message.to.port() - FIRST_PORT);
-        let (link, back) = (self.link_state(from, to), self.link_state(to, from));
+        let (link, return_link) = (self.link_state(from, to), self.link_state(to, from));
         // All random draws are made for every message, so that one fault does not change which
         // messages other faults affect.
         let is_lost = self.rng.random::<f64>() < link.loss;
@@ -258,14 +259,14 @@
         let first = link.draw_delay(&mut self.rng);
         let second = link.draw_delay(&mut self.rng);
         // A stream needs both directions and retransmits lost data.
-        let is_partitioned = link.is_partitioned || message.reliable && back.is_partitioned;
+        let is_partitioned = link.is_partitioned || message.reliable && return_link.is_partitioned;
         if is_partitioned || is_lost && !message.reliable {
             return;
         }
         let is_unreachable = to >= self.nodes.len() || self.nodes[to].is_none() && to != from;
         if is_unreachable && (to >= self.nodes.len() || self.hosts_refuse) {
-            if to < self.nodes.len() && !back.is_partitioned {
-                let refusal = ScheduledEvent::Refusal { of: to, to: from };
+            if to < self.nodes.len() && !return_link.is_partitioned {
+                let refusal = ScheduledEvent::Refusal { dead: to, to: from };
                 self.schedule(self.now + first + second, refusal);
             }
             return;
@@ -289,12 +290,12 @@
     pub fn run(&mut self, duration_ns: u64) {
         let until = self.now + duration_ns;
         while let Some(entry) = self.scheduled_events.first_entry() {
-            let at = entry.key().0;
-            if at > until {
+            let (due_at, _) = *entry.key();
+            if due_at > until {
                 break;
             }
             let event = entry.remove();
-            self.now = at;
+            self.now = due_at;
             self.handle(event);
         }
         self.now = until;
@@ -304,10 +305,10 @@
         let now = self.now;
         match event {
             ScheduledEvent::Delivery { to, bytes } => self.deliver(to, &bytes),
-            ScheduledEvent::Refusal { of, to } => {
+            ScheduledEvent::Refusal { dead, to } => {
                 let is_paused = self.paused[to].is_some();
                 if let Some(node) = self.nodes[to].as_mut().filter(|_| !is_paused) {
-                    node.report_connection_refused(now, address(of));
+                    node.report_connection_refused(now, address(dead));
                     self.flush(to);
                 }
             }
@@ -325,28 +326,33 @@
         }
     }
 
-    pub fn verdict(&self, of: usize, by: usize) -> Option<Verdict> {
-        self.nodes[by].as_ref()?.verdict(&self.names[of], self.now)
+    /// The verdict of one member on another.
+    pub fn verdict(&self, member: usize, observer: usize) -> Option<Verdict> {
+        let node = self.nodes[observer].as_ref()?;
+        node.verdict(&self.names[member], self.now)
     }
 
     /// State of the direction between two members as observed by the sender.
     pub fn outbound(&self, from: usize, to: usize) -> PathState {
-        self.node(from).path_states(&self.names[to], self.now).0
+        let (outbound, _) = self.node(from).path_states(&self.names[to], self.now);
+        outbound
     }
 
     /// State of the direction between two members as observed by the receiver.
     pub fn inbound(&self, from: usize, to: usize) -> PathState {
-        self.node(to).path_states(&self.names[from], self.now).1
+        let (_, inbound) = self.node(to).path_states(&self.names[from], self.now);
+        inbound
     }
 
-    /// Whether every running member finds all of `members` alive.
+    /// Whether every running member finds all other `members` alive, even if some paths to them are
+    /// partitioned.
     pub fn all_alive(&self, members: impl Iterator<Item = usize> + Clone) -> bool {
         let is_alive =
             |verdict| matches!(verdict, Some(Verdict::Alive | Verdict::Partitioned { .. }));
         let running = (0..self.nodes.len()).filter(|member| self.nodes[*member].is_some());
-        running.clone().all(|by| {
-            let mut others = members.clone().filter(|of| *of != by);
-            others.all(|of| is_alive(self.verdict(of, by)))
+        running.clone().all(|observer| {
+            let mut others = members.clone().filter(|member| *member != observer);
+            others.all(|member| is_alive(self.verdict(member, observer)))
         })
     }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -27,8 +27,8 @@
     fleet.run(2 * SECOND);
     assert!(
         (0..30)
-            .filter(|by| *by != 7)
-            .all(|by| fleet.verdict(7, by) == Some(Verdict::Left))
+            .filter(|observer| *observer != 7)
+            .all(|observer| fleet.verdict(7, observer) == Some(Verdict::Left))
     );
     assert_eq!(fleet.take_deaths(), NO_MEMBERS);
 }
@@ -66,10 +66,10 @@
         fleet.hosts_refuse = hosts_refuse;
         fleet.kill(5);
         fleet.run(within);
-        let known = (0..36)
-            .filter(|by| *by != 5 && fleet.verdict(5, *by) == Some(Verdict::Dead))
+        let detected = (0..36)
+            .filter(|observer| *observer != 5 && fleet.verdict(5, *observer) == Some(Verdict::Dead))
             .count();
-        assert_eq!(known, 35, "{hosts_refuse}");
+        assert_eq!(detected, 35, "{hosts_refuse}");
         assert_eq!(fleet.take_deaths(), [name("b-5")]);
     }
 }
@@ -85,26 +85,26 @@
         (4..9).for_each(|member| fleet.kill(member));
         for _ in 0..3 {
             fleet.run(SECOND);
-            for by in 0..4 {
+            for survivor in 0..4 {
                 let now = fleet.now;
-                let node = fleet.node_mut(by);
-                let at: Vec<_> = node
+                let node = fleet.node_mut(survivor);
+                let checked: Vec<_> = node
                     .connection_check_targets(now)
                     .map(|metadata| metadata.address)
                     .collect();
-                let refused = at
+                let refused = checked
                     .into_iter()
-                    .filter(|at| (4..9).any(|of| common::address(of) == *at));
-                refused.for_each(|at| node.report_connection_refused(now, at));
-                fleet.flush(by);
+                    .filter(|address| (4..9).any(|dead| common::address(dead) == *address));
+                refused.for_each(|address| node.report_connection_refused(now, address));
+                fleet.flush(survivor);
             }
         }
         fleet.run(SECOND / 2);
-        let known = (0..4).flat_map(|by| (4..9).map(move |of| (by, of)));
-        let known = known
-            .filter(|(by, of)| fleet.verdict(*of, *by) == Some(Verdict::Dead))
+        let pairs = (0..4).flat_map(|survivor| (4..9).map(move |dead| (survivor, dead)));
+        let detected = pairs
+            .filter(|(survivor, dead)| fleet.verdict(*dead, *survivor) == Some(Verdict::Dead))
             .count();
-        assert_eq!(known, 20);
+        assert_eq!(detected, 20);
     }
 }
 
@@ -166,7 +166,7 @@
 /// between two zones. Both sides observe the partition, and no member stays suspected.
 #[test]
 fn one_way_partitions_are_observed_and_cause_no_death() {
-    let zone = |of: usize| of % 3;
+    let zone = |member: usize| member % 3;
     let pair: Vec<(usize, usize)> = vec![(0, 1)];
     let half: Vec<(usize, usize)> = (1..18).map(|to| (0, to)).collect();
     let zones: Vec<(usize, usize)> = (0..36)
@@ -191,13 +191,13 @@
             let observations = [fleet.outbound(from, to), fleet.inbound(from, to)];
             observations == [Partitioned; 2]
         };
-        let both = partitions
+        let observed = partitions
             .iter()
             .filter(|(from, to)| is_observed(*from, *to))
             .count();
         assert!(
-            both * 100 >= partitions.len() * 95,
-            "{both} of {} partitions are observed by both sides",
+            observed * 100 >= partitions.len() * 95,
+            "{observed} of {} partitions are observed by both sides",
             partitions.len()
         );
         let intact = (0..36).flat_map(|a| (0..36).map(move |b| (a, b)));
@@ -205,10 +205,10 @@
             a != b && !partitions.contains(&(*a, *b)) && !partitions.contains(&(*b, *a))
         });
         for (from, to) in intact {
-            let links = fleet.node(from).path_states(&fleet.names[to], fleet.now);
+            let (outbound, inbound) = fleet.node(from).path_states(&fleet.names[to], fleet.now);
             assert!(
-                links.0 != Partitioned && links.1 != Partitioned,
-                "{from} to {to}: {links:?}"
+                outbound != Partitioned && inbound != Partitioned,
+                "{from} to {to}: {outbound:?}, {inbound:?}"
             );
         }
         fleet.restore_links();
@@ -262,11 +262,8 @@
         let is_partitioned = |(from, to): &(usize, usize)| {
             let is_partitioned =
                 matches!(fleet.verdict(*to, *from), Some(Verdict::Partitioned { .. }));
-            let there = fleet
-                .node(*from)
-                .path_states(&fleet.names[*to], fleet.now)
-                .0;
-            is_partitioned && there == woadstall_membership::PathState::Partitioned
+            let outbound = fleet.outbound(*from, *to);
+            is_partitioned && outbound == woadstall_membership::PathState::Partitioned
         };
         let observed = pairs.filter(is_partitioned).count();
         assert!(observed * 100 >= 144 * 90, "{observed} of 144");
@@ -300,7 +297,7 @@
                 .nodes
                 .iter()
                 .flatten()
-                .filter(|of| of.record(&owner, &key).is_some())
+                .filter(|node| node.record(&owner, &key).is_some())
                 .count()
         };
         fleet.run(SECOND);
@@ -319,19 +316,22 @@
 #[test]
 fn a_flapping_member_costs_bounded_traffic() {
     let mut fleet = SimulatedFleet::new(24, 13);
-    fleet.bytes = 0;
+    fleet.bytes_sent = 0;
     fleet.run(30 * SECOND);
-    let calm = std::mem::take(&mut fleet.bytes);
-    for turn in 0..15 {
+    let usual_bytes = std::mem::take(&mut fleet.bytes_sent);
+    for restart in 0..15 {
         fleet.kill(7);
         fleet.run(2 * SECOND);
-        fleet.start(7, 2_000_000 + turn, 500 + turn);
+        fleet.start(7, 2_000_000 + restart, 500 + restart);
         fleet.run(2 * SECOND);
     }
     assert!(fleet.take_deaths().iter().all(|dead| *dead == name("b-7")));
-    let each = fleet.bytes / 60 / 24;
-    println!("{each} bytes a second each, {} in calm", calm / 30 / 24);
-    assert!(each < 2_000, "{each}");
+    let bytes_per_second = fleet.bytes_sent / 60 / 24;
+    println!(
+        "{bytes_per_second} bytes/s per member, {} without the flapping member",
+        usual_bytes / 30 / 24
+    );
+    assert!(bytes_per_second < 2_000, "{bytes_per_second}");
     fleet.run(10 * SECOND);
     assert!(fleet.all_alive(0..24));
 }
@@ -340,24 +340,24 @@
 /// and declares no member dead.
 #[test]
 fn an_isolated_member_declares_nobody_dead() {
-    for there in [true, false] {
+    for is_outbound in [true, false] {
         let mut fleet = SimulatedFleet::new(18, 6);
         for other in 1..18 {
-            let (from, to) = if there { (0, other) } else { (other, 0) };
+            let (from, to) = if is_outbound { (0, other) } else { (other, 0) };
             fleet.link(from, to).is_partitioned = true;
         }
         fleet.run(60 * SECOND);
         let now = fleet.now;
-        assert!(fleet.node(0).confidence(now).is_isolated, "{there}");
-        let by_it = fleet
+        assert!(fleet.node(0).confidence(now).is_isolated, "{is_outbound}");
+        let deaths_observed = fleet
             .events
             .iter()
-            .filter(|(_, by, event)| *by == 0 && matches!(event, Event::Dead { .. }));
-        assert_eq!(by_it.count(), 0, "{there}");
+            .filter(|(_, observer, event)| *observer == 0 && matches!(event, Event::Dead { .. }));
+        assert_eq!(deaths_observed.count(), 0, "{is_outbound}");
         assert!(fleet.take_deaths().iter().all(|dead| *dead == name("b-0")));
         fleet.restore_links();
         fleet.run(60 * SECOND);
-        assert!(fleet.all_alive(0..18), "{there}");
+        assert!(fleet.all_alive(0..18), "{is_outbound}");
     }
 }
 
@@ -371,9 +371,9 @@
     (5..30).for_each(|member| fleet.start(member, 2_000_000, 1_000 + member as u64));
     fleet.run(10 * SECOND);
     assert!(fleet.all_alive(0..36));
-    let generations = |by: usize| {
+    let generations = |observer: usize| {
         fleet
-            .node(by)
+            .node(observer)
             .observations(fleet.now)
             .map(|observation| observation.metadata.generation.started_ms)
             .collect::<Vec<_>>()
@@ -407,11 +407,10 @@
     fleet.start(11, 9_000_000, 99);
     fleet.events.clear();
     fleet.run(60 * SECOND);
-    let is_reported = |at: usize| {
-        fleet
-            .events
-            .iter()
-            .any(|(_, by, event)| *by == at && matches!(event, Event::NameConflict { .. }))
+    let is_reported = |member: usize| {
+        fleet.events.iter().any(|(_, observer, event)| {
+            *observer == member && matches!(event, Event::NameConflict { .. })
+        })
     };
     assert!(
         is_reported(2) && is_reported(11),
@@ -427,17 +426,17 @@
 fn records_reach_all_and_expire_with_their_owner() {
     let mut fleet = SimulatedFleet::new(60, 5);
     let (key, owner) = (name("zone-left"), fleet.names[9].clone());
-    for (counter, text) in [(1, b"norte".to_vec()), (2, b"sur".to_vec())] {
+    for (version, value) in [(1, b"norte".to_vec()), (2, b"sur".to_vec())] {
         let now = fleet.now;
         fleet
             .node_mut(9)
-            .publish(now, key.clone(), 200, text.clone())
+            .publish(now, key.clone(), 200, value.clone())
             .unwrap();
         fleet.flush(9);
         fleet.run(SECOND);
         let known = |node: &&woadstall_membership::Node| {
             node.record(&owner, &key)
-                .is_some_and(|record| record.value == text && record.version == counter)
+                .is_some_and(|record| record.value == value && record.version == version)
         };
         assert_eq!(fleet.nodes.iter().flatten().filter(known).count(), 60);
     }
@@ -458,21 +457,21 @@
     for count in [12, 48] {
         let mut fleet = SimulatedFleet::new(count, 2);
         fleet.run(20 * SECOND);
-        fleet.bytes = 0;
-        for at in 0..count {
+        fleet.bytes_sent = 0;
+        for owner in 0..count {
             let now = fleet.now;
             for number in 0..4 {
                 let key = name(&format!("k-{number}"));
                 fleet
-                    .node_mut(at)
+                    .node_mut(owner)
                     .publish(now, key, 1, vec![7; 64])
                     .unwrap();
             }
-            fleet.flush(at);
+            fleet.flush(owner);
         }
         fleet.run(30 * SECOND);
-        let each = fleet.bytes / 30 / count as u64;
-        println!("{count} members: {each} bytes a second each");
-        assert!(each < 2_500, "{count}: {each}");
+        let bytes_per_second = fleet.bytes_sent / 30 / count as u64;
+        println!("{count} members: {bytes_per_second} bytes/s per member");
+        assert!(bytes_per_second < 2_500, "{count}: {bytes_per_second}");
     }
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -15,7 +15,7 @@
 use woadstall_membership::message::{Body, MemberUpdate, ProbeOrigin, RecordUpdate};
 use woadstall_membership::{
     Event, Generation, MemberMetadata, MemberState, MemberStatus, Message, MessageError, Name,
-    Node, PARTITIONS_KEY, Settings, Verdict,
+    Node, PARTITIONS_KEY, PathState, Settings, Verdict,
 };
 
 fn fixture(file_name: &str) -> String {
@@ -57,15 +57,15 @@
     }
 }
 
-fn first() -> MemberMetadata {
+fn first_member() -> MemberMetadata {
     member(1, Some("europa"), "127.0.0.1:7946")
 }
 
-fn second() -> MemberMetadata {
+fn second_member() -> MemberMetadata {
     member(2, None, "[2001:db8::2]:7947")
 }
 
-fn third() -> MemberMetadata {
+fn third_member() -> MemberMetadata {
     member(3, Some("asia"), "10.1.2.3:65535")
 }
 
@@ -79,9 +79,9 @@
 
 /// A message from the first to the second member, without updates.
 fn message_with(body: Body) -> Message {
-    let to = Some((second().name, second().generation));
+    let to = Some((second_member().name, second_member().generation));
     Message {
-        from: first(),
+        from: first_member(),
         incarnation: 300,
         to,
         body,
@@ -115,7 +115,7 @@
 #[test]
 fn ping_for_another() {
     let origin = Some(ProbeOrigin {
-        metadata: third(),
+        metadata: third_member(),
         sequence: 70_000,
     });
     assert_golden_message(
@@ -144,7 +144,7 @@
         "indirect-ping.hex",
         &message_with(Body::IndirectPing {
             sequence: 10,
-            target: third(),
+            target: third_member(),
         }),
     );
 }
@@ -179,7 +179,7 @@
 #[test]
 fn digests() {
     let digests = (0..64_u64)
-        .map(|part| part.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        .map(|shard| shard.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .collect();
     assert_golden_message("sums.hex", &message_with(Body::ShardDigests(digests)));
 }
@@ -202,39 +202,39 @@
 fn updates_and_records() {
     let updates = vec![
         MemberUpdate {
-            metadata: second(),
-            status: status(&second(), 0, MemberState::Alive),
+            metadata: second_member(),
+            status: status(&second_member(), 0, MemberState::Alive),
             by: None,
         },
         MemberUpdate {
-            metadata: third(),
-            status: status(&third(), 1, MemberState::Suspect),
+            metadata: third_member(),
+            status: status(&third_member(), 1, MemberState::Suspect),
             by: Some(name("b-1")),
         },
         MemberUpdate {
-            metadata: third(),
-            status: status(&third(), 70_000, MemberState::Dead),
+            metadata: third_member(),
+            status: status(&third_member(), 70_000, MemberState::Dead),
             by: Some(name("b-2")),
         },
         MemberUpdate {
-            metadata: third(),
-            status: status(&third(), 2, MemberState::Left),
+            metadata: third_member(),
+            status: status(&third_member(), 2, MemberState::Left),
             by: None,
         },
         MemberUpdate {
-            metadata: second(),
-            status: MemberStatus::left(second().generation),
+            metadata: second_member(),
+            status: MemberStatus::left(second_member().generation),
             by: None,
         },
     ];
-    let record = |key: &str, priority, age_ms, bytes: &[u8]| RecordUpdate {
+    let record = |key: &str, priority, age_ms, value: &[u8]| RecordUpdate {
         owner: name("b-2"),
-        generation: second().generation,
+        generation: second_member().generation,
         version: 129,
         key: name(key),
         priority,
         age_ms,
-        value: bytes.to_vec(),
+        value: value.to_vec(),
     };
     let records = vec![
         record("load", 0, 0, b""),
@@ -254,10 +254,10 @@
 fn rejected_messages() {
     let mut bytes = bytes_of("ping.hex");
     bytes[0] = 2;
-    let version = Message::decode(&bytes, 256).unwrap_err();
-    assert_eq!(version, MessageError::UnsupportedVersion(2));
+    let unsupported = Message::decode(&bytes, 256).unwrap_err();
+    assert_eq!(unsupported, MessageError::UnsupportedVersion(2));
     assert_eq!(
-        version.to_string(),
+        unsupported.to_string(),
         "unsupported message version 2, expected 1"
     );
     let malformed = Message::decode(&[1, 0], 256).unwrap_err();
@@ -332,13 +332,13 @@
 /// and the zone in the record.
 #[test]
 fn received_partitions() {
-    let me = member(9, None, "127.0.0.1:9");
-    let mut node = Node::new(me, vec![address(1)], Settings::default(), 1, 0).unwrap();
-    let mut far = second();
-    far.zone = name("sur");
+    let local = member(9, None, "127.0.0.1:9");
+    let mut node = Node::new(local, vec![address(1)], Settings::default(), 1, 0).unwrap();
+    let mut remote = second_member();
+    remote.zone = name("sur");
     let record = RecordUpdate {
-        owner: first().name,
-        generation: first().generation,
+        owner: first_member().name,
+        generation: first_member().generation,
         version: 1,
         key: name(PARTITIONS_KEY),
         priority: 64,
@@ -346,8 +346,8 @@
         value: bytes_of("cuts-heard.hex"),
     };
     let updates = vec![MemberUpdate {
-        status: status(&far, 0, MemberState::Alive),
-        metadata: far,
+        status: status(&remote, 0, MemberState::Alive),
+        metadata: remote,
         by: None,
     }];
     let message = Message {
@@ -395,8 +395,8 @@
         name.into_iter().for_each(|name| self.name(name));
     }
 
-    fn address(&mut self, at: SocketAddr) {
-        self.bytes(at.to_string().as_bytes());
+    fn address(&mut self, address: SocketAddr) {
+        self.bytes(address.to_string().as_bytes());
     }
 
     fn metadata(&mut self, metadata: &MemberMetadata) {
@@ -432,9 +432,9 @@
                 self.number(5);
                 self.name(name);
             }
-            Event::ProcessPaused(time) => {
+            Event::ProcessPaused(duration) => {
                 self.number(6);
-                self.number(time.as_nanos() as u64);
+                self.number(duration.as_nanos() as u64);
             }
             Event::NameConflict { name, addresses } => {
                 self.number(7);
@@ -448,11 +448,11 @@
         }
     }
 
-    fn link(&mut self, link: woadstall_membership::PathState) {
-        self.number(match link {
-            woadstall_membership::PathState::Unknown => 0,
-            woadstall_membership::PathState::Open => 1,
-            woadstall_membership::PathState::Partitioned => 2,
+    fn path_state(&mut self, state: PathState) {
+        self.number(match state {
+            PathState::Unknown => 0,
+            PathState::Open => 1,
+            PathState::Partitioned => 2,
         });
     }
 
@@ -462,8 +462,8 @@
             Verdict::Suspect => self.number(2),
             Verdict::Partitioned { outbound, inbound } => {
                 self.number(3);
-                self.link(outbound);
-                self.link(inbound);
+                self.path_state(outbound);
+                self.path_state(inbound);
             }
             Verdict::Dead => self.number(4),
             Verdict::Left => self.number(5),
@@ -483,9 +483,9 @@
             self.number(observation.since);
             self.number(observation.last_reached_at.map_or(0, |at| at + 1));
             observation.suspected_by.iter().for_each(|by| self.name(by));
-            let (to, from) = node.path_states(&observation.metadata.name, now);
-            self.link(to);
-            self.link(from);
+            let (outbound, inbound) = node.path_states(&observation.metadata.name, now);
+            self.path_state(outbound);
+            self.path_state(inbound);
             let status = node.status(&observation.metadata.name).unwrap();
             self.number(u64::from(status.incarnation));
         }
@@ -534,15 +534,15 @@
     /// members.
     fn fleet(&mut self, fleet: &mut SimulatedFleet) {
         for sent in fleet.sent.drain(..) {
-            self.number(sent.at);
+            self.number(sent.sent_at);
             self.number(sent.from as u64);
             self.address(sent.message.to);
             self.number(u64::from(sent.message.reliable));
             self.bytes(&sent.message.bytes);
         }
-        for (at, by, event) in std::mem::take(&mut fleet.events) {
-            self.number(at);
-            self.number(by as u64);
+        for (observed_at, observer, event) in std::mem::take(&mut fleet.events) {
+            self.number(observed_at);
+            self.number(observer as u64);
             self.event(&event);
         }
         for node in fleet.nodes.iter().flatten() {
@@ -597,7 +597,7 @@
     digest.fleet(fleet);
 }
 
-/// Digest of a fleet of twelve members with message loss and faults, and the number of bytes sent.
+/// Digest of a run of twelve members with message loss and faults, and the number of bytes sent.
 fn fleet_digest(zones: usize, plain_swim: bool) -> String {
     let mut digest = Digest::default();
     let mut fleet = SimulatedFleet::in_zones(12, 77, zones);
@@ -617,16 +617,19 @@
     digest.fleet(&mut fleet);
     run_faults(&mut fleet, &mut digest);
     let hash = digest.0.finish128();
-    format!("{:016x}{:016x} {} bytes", hash.h1, hash.h2, fleet.bytes)
+    format!(
+        "{:016x}{:016x} {} bytes",
+        hash.h1, hash.h2, fleet.bytes_sent
+    )
 }
 
 /// Sent bytes and conclusions stay the same in two and three zones, and with plain SWIM.
 #[test]
 fn small_fleets_send_and_conclude_the_same() {
     let fleets = [(2, false), (3, false), (3, true)];
-    let line = |(zones, plain)| {
-        let digest = fleet_digest(zones, plain);
-        format!("{zones} zones, plain {plain}: {digest}\n")
+    let line = |(zones, plain_swim)| {
+        let digest = fleet_digest(zones, plain_swim);
+        format!("{zones} zones, plain {plain_swim}: {digest}\n")
     };
     let lines: String = fleets.into_iter().map(line).collect();
     assert_golden_text("small-fleet.txt", &lines);
--- a/crates/membership/tests/long.rs
+++ b/crates/membership/tests/long.rs
@@ -30,7 +30,7 @@
     suspicions: u64,
     false_deaths: u64,
     /// Seconds until all running members knew of each death.
-    detection: Vec<f64>,
+    detection_s: Vec<f64>,
     previous_victim: Option<Name>,
 }
 
@@ -43,7 +43,7 @@
             jitter: 5 * MS,
             ..Link::default()
         });
-        fleet.bytes = 0;
+        fleet.bytes_sent = 0;
         Self {
             fleet,
             members,
@@ -53,7 +53,7 @@
             pauses: 0,
             suspicions: 0,
             false_deaths: 0,
-            detection: Vec::new(),
+            detection_s: Vec::new(),
             previous_victim: None,
         }
     }
@@ -62,7 +62,7 @@
     fn run_minute(&mut self, minute: u64) {
         let victim = self.rng.random_range(2..self.members);
         let dies_at = self.fleet.now + 20 * SECOND;
-        let (mut died_at, mut detected_after) = (None, None);
+        let (mut died_at, mut detected_after_s) = (None, None);
         for _ in 0..STEPS_PER_MINUTE {
             self.fleet.run(SECOND / 10);
             self.pause_and_resume(victim);
@@ -71,13 +71,13 @@
                 self.fleet.kill(victim);
             }
             if let Some(died_at) = died_at
-                && detected_after.is_none()
+                && detected_after_s.is_none()
                 && self.is_death_known(victim)
             {
-                detected_after = Some((self.fleet.now - died_at) as f64 / 1e9);
+                detected_after_s = Some((self.fleet.now - died_at) as f64 / 1e9);
             }
         }
-        self.detection.extend(detected_after);
+        self.detection_s.extend(detected_after_s);
         self.fleet
             .start(victim, 2_000_000 + minute, 1_000_000 + minute);
         self.count_events(victim);
@@ -109,8 +109,9 @@
     }
 
     fn is_death_known(&self, victim: usize) -> bool {
-        let mut others = (0..self.members).filter(|by| *by != victim && !self.is_paused(*by));
-        others.all(|by| self.fleet.verdict(victim, by) == Some(Verdict::Dead))
+        let mut others =
+            (0..self.members).filter(|other| *other != victim && !self.is_paused(*other));
+        others.all(|other| self.fleet.verdict(victim, other) == Some(Verdict::Dead))
     }
 
     fn count_events(&mut self, victim: usize) {
@@ -123,7 +124,9 @@
                 Event::Dead { name, .. } if Some(&name) == previous.as_ref() => {}
                 Event::Dead { name, by } if name != victim => {
                     let seconds = at as f64 / 1e9;
-                    println!("{seconds:.1} s: member {member} finds {name} dead, first {by:?}");
+                    println!(
+                        "{seconds:.1} s: member {member} finds {name} dead, declared by {by:?}"
+                    );
                     self.false_deaths += 1;
                 }
                 Event::Suspected { .. } => self.suspicions += 1,
@@ -145,24 +148,24 @@
     for minute in 0..minutes {
         soak.run_minute(minute);
     }
-    soak.detection.sort_by(f64::total_cmp);
+    soak.detection_s.sort_by(f64::total_cmp);
     let (pauses, false_deaths, suspicions) = (soak.pauses, soak.false_deaths, soak.suspicions);
     let seconds = (soak.fleet.now - started_at) / SECOND;
-    let detection = &soak.detection;
+    let detection_s = &soak.detection_s;
     println!(
         "{members} members, {minutes} minutes, {pauses} pauses: {false_deaths} false deaths, \
-         {suspicions} suspicions received, {} of {minutes} deaths known by all that ran after {:.1} s in the median, \
-         {:.1} s at most; {} bytes a second each",
-        detection.len(),
-        detection.get(detection.len() / 2).unwrap_or(&f64::NAN),
-        detection.last().unwrap_or(&f64::NAN),
-        soak.fleet.bytes / seconds / members as u64
+         {suspicions} suspicions received, {} of {minutes} deaths detected by all running members, after {:.1} s in \
+         the median and {:.1} s at most; {} bytes/s per member",
+        detection_s.len(),
+        detection_s.get(detection_s.len() / 2).unwrap_or(&f64::NAN),
+        detection_s.last().unwrap_or(&f64::NAN),
+        soak.fleet.bytes_sent / seconds / members as u64
     );
     assert_eq!(false_deaths, 0);
 }
 
-/// Milliseconds until each member has each of 20 records of different owners; 60,000 for a record
-/// that did not arrive within a minute.
+/// Milliseconds until each member has received each of 20 records of different owners; 60,000 for a
+/// record that did not arrive within a minute.
 fn record_latencies(fleet: &mut SimulatedFleet, members: usize) -> Vec<u64> {
     let key = common::name("evidence");
     let mut latencies = Vec::new();
@@ -173,12 +176,12 @@
         node.publish(now, key.clone(), 200, vec![round; 64])
             .unwrap();
         fleet.flush(owner);
-        let mut missing: Vec<usize> = (0..members).filter(|of| *of != owner).collect();
+        let mut missing: Vec<usize> = (0..members).filter(|member| *member != owner).collect();
         while !missing.is_empty() && fleet.now < now + 60 * SECOND {
             fleet.run(10 * MS);
             let (owner, latency) = (&fleet.names[owner], fleet.now - now);
-            missing.retain(|of| {
-                let record = fleet.node(*of).record(owner, &key);
+            missing.retain(|member| {
+                let record = fleet.node(*member).record(owner, &key);
                 let is_missing = record.is_none_or(|record| record.value[0] != round);
                 if !is_missing {
                     latencies.push(latency / MS);
@@ -209,12 +212,13 @@
         fleet.run(20 * SECOND);
         let mut latencies = record_latencies(&mut fleet, members);
         latencies.sort_unstable();
-        let at = |part: f64| latencies[((latencies.len() - 1) as f64 * part) as usize];
+        let quantile =
+            |fraction: f64| latencies[((latencies.len() - 1) as f64 * fraction) as usize];
         println!(
-            "{members} members, {loss} lost: a record after {} ms (p50), {} (p99), {} at most",
-            at(0.5),
-            at(0.99),
-            at(1.0)
+            "{members} members, {loss} lost: a record arrives after {} ms (p50), {} ms (p99), {} ms at most",
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0)
         );
     }
 }
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -32,8 +32,9 @@
 }
 
 fn any_update() -> impl Strategy<Value = MemberUpdate> {
-    (2_usize..6, 0_u64..3, 0_u32..3, 0_u8..4).prop_map(|(of, started_ms, incarnation, state)| {
-        let metadata = metadata(of, name(&format!("b-{of}")), started_ms, 1);
+    let members = 2_usize..6;
+    (members, 0_u64..3, 0_u32..3, 0_u8..4).prop_map(|(member, started_ms, incarnation, state)| {
+        let metadata = metadata(member, name(&format!("b-{member}")), started_ms, 1);
         let state = [
             MemberState::Alive,
             MemberState::Suspect,
@@ -63,12 +64,12 @@
     /// updates.
     #[test]
     fn statuses_converge_in_any_order(
-        mut all in prop::collection::vec(any_update(), 1..40),
+        mut updates in prop::collection::vec(any_update(), 1..40),
         repeated in any::<prop::sample::Index>(),
     ) {
-        let conclusions = |all: &[MemberUpdate]| {
+        let conclusions = |updates: &[MemberUpdate]| {
             let mut node = node();
-            for update in all {
+            for update in updates {
                 node.receive(SECOND / 2, &message(vec![update.clone()]).encode()).unwrap();
             }
             let observations = node.observations(SECOND / 2);
@@ -78,11 +79,11 @@
             });
             by_name.collect::<BTreeMap<_, _>>()
         };
-        let first = conclusions(&all);
-        let repeated = all[repeated.index(all.len())].clone();
-        all.push(repeated);
-        all.reverse();
-        prop_assert_eq!(first, conclusions(&all));
+        let in_order = conclusions(&updates);
+        let repeated = updates[repeated.index(updates.len())].clone();
+        updates.push(repeated);
+        updates.reverse();
+        prop_assert_eq!(in_order, conclusions(&updates));
     }
 
     /// Input that is not a message changes nothing and never panics. A truncated message is
@@ -90,7 +91,7 @@
     #[test]
     fn malformed_messages_change_nothing(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
-        at in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
     ) {
         let mut node = node();
         if node.receive(1, &bytes).is_err() {
@@ -102,10 +103,10 @@
             by: None,
         }]).encode();
         let mut other = self::node();
-        prop_assert!(other.receive(1, &complete[..at.index(complete.len())]).is_err());
+        prop_assert!(other.receive(1, &complete[..position.index(complete.len())]).is_err());
         let mut changed = complete.clone();
-        let at = at.index(changed.len());
-        changed[at] ^= 0x55;
+        let position = position.index(changed.len());
+        changed[position] ^= 0x55;
         other.receive(1, &changed).ok();
     }
 }
@@ -168,8 +169,8 @@
         "a member that is reported to have left starts a later generation"
     );
     let mut sent = Vec::new();
-    while let Some(out) = node.next_outgoing() {
-        sent.extend(Message::decode(&out.bytes, 256).unwrap().updates);
+    while let Some(outgoing) = node.next_outgoing() {
+        sent.extend(Message::decode(&outgoing.bytes, 256).unwrap().updates);
     }
     assert!(
         sent.iter().any(|update| update.metadata.name == local.name
