--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -64,8 +64,11 @@
 
 /// The evidence about a subject, by zone.
 struct ZoneEvidence {
+    /// The evidence from the observer's zone.
     observer: EvidenceSum,
+    /// The evidence from the subject's zone.
     home: EvidenceSum,
+    /// The evidence from each other zone.
     others: Vec<EvidenceSum>,
     needed_log_odds: f64,
     /// Whether the subject is outside the observer's zone.
@@ -175,7 +178,7 @@
         } else {
             self.observer.healthy
         };
-        let zones = self.all().filter(|sum| self.is_against(sum)).count();
+        let zones = self.zones().filter(|sum| self.is_against(sum)).count();
         Assessment {
             symptom,
             is_unhealthy: unhealthy >= self.needed_log_odds,
@@ -189,7 +192,7 @@
 
     /// Iterates over the evidence of each zone, without repeating the observer's zone if it is also
     /// the subject's.
-    fn all(&self) -> impl Iterator<Item = &EvidenceSum> {
+    fn zones(&self) -> impl Iterator<Item = &EvidenceSum> {
         let home = self.is_remote.then_some(&self.home);
         std::iter::once(&self.observer)
             .chain(home)
@@ -220,7 +223,7 @@
             .iter()
             .filter(|sum| self.is_against(sum))
             .count();
-        let elsewhere = if agreeing >= MIN_AGREEING_ZONES {
+        let other_zones = if agreeing >= MIN_AGREEING_ZONES {
             self.others
                 .iter()
                 .map(|sum| sum.unhealthy.max(0.0))
@@ -228,11 +231,11 @@
         } else {
             0.0
         };
-        self.home.unhealthy.max(elsewhere)
+        self.home.unhealthy.max(other_zones)
     }
 
     fn reporters(&self) -> Reporters {
-        self.all()
+        self.zones()
             .fold(Reporters::default(), |total, sum| Reporters {
                 against: total.against + sum.reporters.against,
                 in_favor: total.in_favor + sum.reporters.in_favor,
--- a/crates/health-reports/src/call_counts.rs
+++ b/crates/health-reports/src/call_counts.rs
@@ -20,7 +20,7 @@
     /// `attempts`.
     pub slow: f64,
     /// The time that the counts are decayed to, in nanoseconds.
-    pub(crate) at: Time,
+    pub(crate) as_of: Time,
 }
 
 /// An estimated rate with a lower and an upper bound, two standard deviations away. All three values
@@ -38,9 +38,9 @@
 impl RateEstimate {
     /// Estimates a rate from `hits` in `attempts`, as a Beta distribution with Jeffreys' prior.
     fn new(hits: f64, attempts: f64) -> Self {
-        let (a, b) = (hits.max(0.0) + 0.5, (attempts - hits).max(0.0) + 0.5);
-        let mean = a / (a + b);
-        let deviation = (mean * (1.0 - mean) / (a + b + 1.0)).sqrt();
+        let (alpha, beta) = (hits.max(0.0) + 0.5, (attempts - hits).max(0.0) + 0.5);
+        let mean = alpha / (alpha + beta);
+        let deviation = (mean * (1.0 - mean) / (alpha + beta + 1.0)).sqrt();
         Self {
             low: (mean - 2.0 * deviation).max(0.0),
             mean,
@@ -50,28 +50,28 @@
 }
 
 impl CallCounts {
-    /// Creates counts that are decayed to the time `at`, in nanoseconds.
-    pub fn new(attempts: f64, failed: f64, slow: f64, at: Time) -> Self {
+    /// Creates counts that are decayed to the time `as_of`, in nanoseconds.
+    pub fn new(attempts: f64, failed: f64, slow: f64, as_of: Time) -> Self {
         Self {
             attempts,
             failed,
             slow,
-            at,
+            as_of,
         }
     }
 
     /// Returns the counts decayed to a later time, in nanoseconds. An earlier time changes nothing.
     pub fn decayed_to(&self, now: Time) -> Self {
-        let factor = (-(now.saturating_sub(self.at) as f64) / DECAY_NS).exp();
+        let factor = (-(now.saturating_sub(self.as_of) as f64) / DECAY_NS).exp();
         Self {
-            at: self.at.max(now),
+            as_of: self.as_of.max(now),
             ..self.scaled(factor)
         }
     }
 
     /// Returns the counts decayed to a later time with another time constant, in nanoseconds.
     pub(crate) fn decayed_to_with(&self, now: Time, decay_ns: f64) -> Self {
-        let elapsed_ns = now.saturating_sub(self.at) as f64;
+        let elapsed_ns = now.saturating_sub(self.as_of) as f64;
         let factor = (-elapsed_ns / decay_ns + elapsed_ns / DECAY_NS).exp();
         self.scaled(factor).decayed_to(now)
     }
@@ -81,13 +81,13 @@
             attempts,
             failed,
             slow,
-            at,
+            as_of,
         } = *self;
         Self {
             attempts: attempts * factor,
             failed: failed * factor,
             slow: slow * factor,
-            at,
+            as_of,
         }
     }
 
@@ -107,13 +107,13 @@
 
     /// Returns the sum of both counts, decayed to the later of their times.
     pub fn merged(&self, other: &Self) -> Self {
-        let now = self.at.max(other.at);
+        let now = self.as_of.max(other.as_of);
         let (a, b) = (self.decayed_to(now), other.decayed_to(now));
         Self {
             attempts: a.attempts + b.attempts,
             failed: a.failed + b.failed,
             slow: a.slow + b.slow,
-            at: now,
+            as_of: now,
         }
     }
 
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -22,8 +22,8 @@
 const GAIN_UP: f64 = 0.001;
 /// The minimum number of responses for the typical response time of a class to be known.
 const MIN_RESPONSES: u32 = 10;
-/// How long a response in time counts as a sign that the subject works, in nanoseconds. The time is
-/// short because calls that have hung since then are not counted yet.
+/// How long a subject counts as answered recently after a response in time, in nanoseconds. The time
+/// is short because calls that have hung since the response are not counted yet.
 const RECENT_ANSWER_NS: Duration = 300_000_000;
 
 /// Identifies an attempt of this balancer.
@@ -90,6 +90,7 @@
 #[derive(Clone, Debug)]
 struct Server {
     subject: Subject,
+    /// The position of the server's zone in the settings.
     zone: usize,
     counts: CusumCounts,
 }
@@ -98,6 +99,7 @@
 struct Zone {
     subject: Subject,
     counts: CusumCounts,
+    /// The subject and the counts of each class at this zone, by position of the class.
     classes: Vec<(Subject, CusumCounts)>,
 }
 
@@ -113,14 +115,15 @@
         self.responses >= MIN_RESPONSES
     }
 
-    fn record(&mut self, took_ns: f64) {
+    fn record(&mut self, duration_ns: f64) {
         self.responses = self.responses.saturating_add(1);
-        let gain = if took_ns < self.typical_ns {
+        let gain = if duration_ns < self.typical_ns {
             GAIN_DOWN
         } else {
             GAIN_UP
         };
-        self.typical_ns += gain.max(1.0 / f64::from(self.responses)) * (took_ns - self.typical_ns);
+        self.typical_ns +=
+            gain.max(1.0 / f64::from(self.responses)) * (duration_ns - self.typical_ns);
     }
 }
 
@@ -187,14 +190,15 @@
         let Some(response_time) = self.response_times.get_mut(completed.class) else {
             return;
         };
-        let took_ns = completed.duration_ns as f64;
-        let Some(failed) = has_failed(completed.outcome, took_ns, response_time) else {
+        let duration_ns = completed.duration_ns as f64;
+        let Some(failed) = has_failed(completed.outcome, duration_ns, response_time) else {
             return;
         };
-        let is_slow =
-            response_time.is_known() && !failed && took_ns > SLOW_FACTOR * response_time.typical_ns;
+        let is_slow = response_time.is_known()
+            && !failed
+            && duration_ns > SLOW_FACTOR * response_time.typical_ns;
         if completed.outcome == Outcome::Ok {
-            response_time.record(took_ns);
+            response_time.record(duration_ns);
         }
         match self.counted_pending.remove(&completed.id) {
             Some(CountedAs::Failed) => {}
@@ -315,9 +319,9 @@
 
 /// Returns whether an attempt has failed due to its server; `None` if the outcome says nothing about
 /// the server's health.
-fn has_failed(outcome: Outcome, took_ns: f64, response_time: &ResponseTime) -> Option<bool> {
+fn has_failed(outcome: Outcome, duration_ns: f64, response_time: &ResponseTime) -> Option<bool> {
     let is_short =
-        response_time.is_known() && took_ns < SHORT_TIMEOUT_FACTOR * response_time.typical_ns;
+        response_time.is_known() && duration_ns < SHORT_TIMEOUT_FACTOR * response_time.typical_ns;
     match outcome {
         Outcome::Ok => Some(false),
         Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(true),
--- a/crates/health-reports/src/cusum.rs
+++ b/crates/health-reports/src/cusum.rs
@@ -33,10 +33,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct CusumCounts {
     /// All calls, decayed with the time constant of healthy subjects.
-    all: CallCounts,
+    all_calls: CallCounts,
     /// The calls since the subject degraded; empty while it is not degraded.
     since_change: CallCounts,
+    /// The cumulative sum of the increments of [`FAILING`].
     failing_sum: f64,
+    /// The cumulative sum of the increments of [`DEGRADED`].
     degraded_sum: f64,
     answered_at: Time,
 }
@@ -44,9 +46,9 @@
 impl CusumCounts {
     /// Adds a call that ends at the time `now`.
     pub fn add(&mut self, now: Time, failed: bool, slow: bool) {
-        let decay = (-(now.saturating_sub(self.since_change.at) as f64) / DECAY_NS).exp();
-        self.all = self.all.decayed_to_with(now, HEALTHY_DECAY_NS);
-        self.all.add(now, failed, slow);
+        let decay = (-(now.saturating_sub(self.since_change.as_of) as f64) / DECAY_NS).exp();
+        self.all_calls = self.all_calls.decayed_to_with(now, HEALTHY_DECAY_NS);
+        self.all_calls.add(now, failed, slow);
         self.since_change.add(now, failed, slow);
         if !failed && !slow {
             self.answered_at = now;
@@ -55,7 +57,7 @@
         self.degraded_sum = next_sum(self.degraded_sum, decay, failed || slow, &DEGRADED);
         if !self.has_degraded() {
             self.since_change = CallCounts {
-                at: now,
+                as_of: now,
                 ..CallCounts::default()
             };
         }
@@ -63,9 +65,9 @@
 
     /// Turns a call that was counted as slow into a failed one.
     pub fn slow_to_failed(&mut self, now: Time) {
-        self.all = self.all.decayed_to_with(now, HEALTHY_DECAY_NS);
+        self.all_calls = self.all_calls.decayed_to_with(now, HEALTHY_DECAY_NS);
         self.since_change = self.since_change.decayed_to(now);
-        for counts in [&mut self.all, &mut self.since_change] {
+        for counts in [&mut self.all_calls, &mut self.since_change] {
             counts.failed += 1.0;
             counts.slow = (counts.slow - 1.0).max(0.0);
             counts.attempts = counts.attempts.max(counts.failed + counts.slow);
@@ -83,7 +85,7 @@
         if self.has_degraded() {
             self.since_change.decayed_to(now)
         } else {
-            self.all.decayed_to_with(now, HEALTHY_DECAY_NS)
+            self.all_calls.decayed_to_with(now, HEALTHY_DECAY_NS)
         }
     }
 
--- a/crates/health-reports/src/health_report.rs
+++ b/crates/health-reports/src/health_report.rs
@@ -42,9 +42,10 @@
         }
     }
 
-    /// Returns the counts of a report that was made at the time `at`, in nanoseconds. Contradictory
-    /// entries are corrected: there are never more failed and slow calls than attempts.
-    pub fn counts(&self, at: Time) -> CallCounts {
+    /// Returns the counts of a report that was made at the time `reported_at`, in nanoseconds.
+    /// Contradictory entries are corrected: there are never more failed and slow calls than
+    /// attempts.
+    pub fn counts(&self, reported_at: Time) -> CallCounts {
         let calls = |units: u16| f64::from(units) / UNITS_PER_CALL;
         let attempts = calls(self.attempts);
         let failed = calls(self.failed).min(attempts);
@@ -52,7 +53,7 @@
             attempts,
             failed,
             calls(self.slow).min(attempts - failed),
-            at,
+            reported_at,
         )
     }
 }
--- a/crates/health-reports/src/log_odds.rs
+++ b/crates/health-reports/src/log_odds.rs
@@ -133,7 +133,7 @@
         others.sort_by(|a, b| a.log_odds.total_cmp(&b.log_odds));
         let against = others.iter().filter(|report| report.log_odds > 0.0).count();
         let in_favor = others.iter().filter(|report| report.log_odds < 0.0).count();
-        // Faulty reporters cannot be distinguished from sound ones, so the strongest evidence on
+        // Faulty reporters cannot be distinguished from correct ones, so the strongest evidence on
         // each side is left out regardless of who reported it.
         let against_without_faulty = &others[..others.len() - against.min(faulty)];
         let in_favor_without_faulty = &others[in_favor.min(faulty)..];
--- a/crates/health-reports/src/packed_list.rs
+++ b/crates/health-reports/src/packed_list.rs
@@ -69,10 +69,10 @@
     let mut items = Vec::new();
     while !rest.is_empty() && items.len() < max_items {
         let index = items.len();
-        let (item, after) = postcard::take_from_bytes::<T>(rest)
+        let (item, bytes_left) = postcard::take_from_bytes::<T>(rest)
             .map_err(|source| PackedListError::Item { index, source })?;
         items.push(item);
-        rest = after;
+        rest = bytes_left;
     }
     Ok(items)
 }
--- a/crates/health-reports/src/report_table.rs
+++ b/crates/health-reports/src/report_table.rs
@@ -118,9 +118,9 @@
         subjects: impl Iterator<Item = (Subject, &'a CallCounts)>,
     ) -> Baseline {
         let mut total = CallCounts::default();
-        for (subject, own) in subjects {
+        for (subject, own_counts) in subjects {
             total = total
-                .merged(&own.decayed_to(now))
+                .merged(&own_counts.decayed_to(now))
                 .merged(&self.total(now, &subject));
         }
         if total.attempts < MIN_BASELINE_ATTEMPTS {
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -13,16 +13,16 @@
 const MS: u64 = 1_000_000;
 const SECOND: u64 = 1_000 * MS;
 
-fn counts(attempts: f64, failed: f64, at: u64) -> CallCounts {
-    CallCounts::new(attempts, failed, 0.0, at)
+fn counts(attempts: f64, failed: f64, as_of: u64) -> CallCounts {
+    CallCounts::new(attempts, failed, 0.0, as_of)
 }
 
 /// Inserts a member's report on the zone `norte` into the table.
-fn report(table: &mut ReportTable, owner: usize, zone: &str, counts: CallCounts, at: u64) {
+fn report(table: &mut ReportTable, owner: usize, zone: &str, counts: CallCounts, reported_at: u64) {
     let entries = vec![ReportEntry::new(Subject::zone("0", "norte"), &counts)];
     let bytes = HealthReport { entries }.encode(256);
     table
-        .insert(&format!("b-{owner}"), zone, at, &bytes)
+        .insert(&format!("b-{owner}"), zone, reported_at, &bytes)
         .unwrap();
 }
 
@@ -54,7 +54,7 @@
 fn the_reporters_of_a_zone_convince_all_others() {
     for members_per_zone in [3, 8, 100] {
         let mut table = ReportTable::default();
-        let needed = (0..members_per_zone).find(|reporter| {
+        let last_reporter = (0..members_per_zone).find(|reporter| {
             report(
                 &mut table,
                 *reporter,
@@ -71,7 +71,7 @@
             )
             .is_unhealthy
         });
-        let needed = 1 + needed.expect("the reports of all members are enough");
+        let needed = 1 + last_reporter.expect("the reports of all members are enough");
         assert!(
             needed > max_faulty(members_per_zone),
             "{needed} of {members_per_zone}"
@@ -142,12 +142,12 @@
         request,
         attempt: 0,
     };
-    let completed = |request, outcome, took| CompletedAttempt {
+    let completed = |request, outcome, duration_ns| CompletedAttempt {
         id: id(request),
         server,
         class: 0,
         outcome,
-        duration_ns: took,
+        duration_ns,
     };
     for request in 0..50 {
         let now = u64::from(request) * 20 * MS;
@@ -220,10 +220,10 @@
         let counts = counts(attempts, attempts * rate, SECOND);
         (0..reporters).for_each(|reporter| report(&mut table, reporter, "norte", counts, SECOND));
         let strength = |now| assess(&table, "norte", 8, CallCounts::default(), now).strength;
-        let (then, later) = (SECOND + wait * 500 * MS, SECOND + (wait + 1) * 500 * MS);
+        let (earlier, later) = (SECOND + wait * 500 * MS, SECOND + (wait + 1) * 500 * MS);
         // The tolerance covers the rounding of counts to quarters, which matters when the log odds
         // are close to 0.
-        prop_assert!(strength(later) <= strength(then) + 0.05);
+        prop_assert!(strength(later) <= strength(earlier) + 0.05);
     }
 
     /// Any bytes are decoded or rejected, and decoded counts never have more failed and slow calls
