--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -95,7 +95,7 @@
     /// The sum of the sizes of the servers in service, by position of the zone.
     zone_sizes: Vec<f64>,
     /// The version of the newest record received for each owner and key.
-    received: BTreeMap<(Name, RecordKey), RecordVersion>,
+    received_versions: BTreeMap<(Name, RecordKey), RecordVersion>,
     member_decisions: BTreeMap<String, MemberDecisions>,
     published: PublishedRecords,
     /// The newest verdict returned for each domain with a reduced share.
@@ -124,7 +124,7 @@
             servers: BTreeMap::new(),
             server_sizes: BTreeMap::new(),
             zone_sizes: vec![0.0; zones.len()],
-            received: BTreeMap::new(),
+            received_versions: BTreeMap::new(),
             member_decisions: BTreeMap::new(),
             published: PublishedRecords::default(),
             reduced_verdicts: BTreeMap::new(),
@@ -242,8 +242,8 @@
             .get(&self.settings.topology.order_subject(subject))
     }
 
-    /// Returns the share of its usual new work that a domain gets by orders and by the engine's
-    /// decision, apart from trials.
+    /// Returns the share of its usual new work that a domain gets according to its order and the
+    /// engine's decision, apart from trials.
     fn share(&self, subject: &Subject) -> f64 {
         match self.order_for(subject).map(|order| order.action) {
             Some(OrderAction::Evacuate) => 0.0,
--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -10,11 +10,13 @@
 
 /// The priority of the record with operators' orders. Records of a higher priority are spread first.
 const ORDERS_PRIORITY: u8 = 250;
-/// The priority of decisions that members that were absent still wait for.
+/// The priority of decisions that too few other members have published for members that were absent
+/// to adopt them.
 const AWAITED_DECISIONS_PRIORITY: u8 = 220;
 /// The priority of health reports.
 const HEALTH_REPORT_PRIORITY: u8 = 200;
-/// The priority of decisions that enough other members have published already.
+/// The priority of decisions that enough other members have published already, and of decisions
+/// about servers.
 const OTHER_DECISIONS_PRIORITY: u8 = 40;
 
 /// The records that this member has published last.
@@ -87,8 +89,9 @@
         if bytes == self.published.decisions || is_first_and_empty {
             return;
         }
-        // Members that were absent wait until enough others have published a decision about a zone.
-        // Copies from further members, and decisions about servers, are only for operators.
+        // A member that was absent adopts a decision about a zone, class or region once enough
+        // others have published it. Copies from further members, and decisions about servers, are
+        // only for operators.
         let needed = max_faulty(own_zone_members) + 2;
         let is_awaited = decisions.iter().any(|decision| {
             decision.subject.kind != SubjectKind::Server
--- a/crates/evacuation/src/coordinator/receive.rs
+++ b/crates/evacuation/src/coordinator/receive.rs
@@ -6,7 +6,7 @@
 use crate::order::OrderTable;
 use std::collections::{BTreeMap, BTreeSet};
 use woadstall_decisions::api::Time;
-use woadstall_membership::{Name, Node, Record, Verdict as MemberState};
+use woadstall_membership::{Name, Node, Record, Verdict as MemberVerdict};
 
 /// The kinds of records that coordinators publish, with their keys in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,42 +55,43 @@
         node: &Node,
     ) -> BTreeMap<String, usize> {
         let mut members: BTreeMap<String, usize> = BTreeMap::new();
-        let mut zones: BTreeMap<&Name, &Name> = BTreeMap::new();
+        let mut zone_by_member: BTreeMap<&Name, &Name> = BTreeMap::new();
         *members
             .entry(node.local().zone.as_str().to_owned())
             .or_default() += 1;
         for member in node.observations(now) {
-            if matches!(member.verdict, MemberState::Dead | MemberState::Left) {
+            if matches!(member.verdict, MemberVerdict::Dead | MemberVerdict::Left) {
                 continue;
             }
-            zones.insert(&member.metadata.name, &member.metadata.zone);
-            // Members that this balancer cannot hear do not count, since their reports do not
-            // arrive.
+            zone_by_member.insert(&member.metadata.name, &member.metadata.zone);
+            // Suspected members and members of unknown state do not count, since their reports may
+            // not arrive.
             if matches!(
                 member.verdict,
-                MemberState::Alive | MemberState::Partitioned { .. }
+                MemberVerdict::Alive | MemberVerdict::Partitioned { .. }
             ) {
                 *members
                     .entry(member.metadata.zone.as_str().to_owned())
                     .or_default() += 1;
             }
         }
-        for (owner, name, record) in node.records() {
-            let Some(zone) = zones.get(owner) else {
+        for (owner, key_name, record) in node.records() {
+            let Some(zone) = zone_by_member.get(owner) else {
                 continue;
             };
-            let Some(key) = RecordKey::from_name(name.as_str()) else {
+            let Some(key) = RecordKey::from_name(key_name.as_str()) else {
                 continue;
             };
             let version = RecordVersion {
                 generation_id: record.generation.id,
                 version: record.version,
             };
-            if self.received.insert((owner.clone(), key), version) != Some(version) {
+            let former = self.received_versions.insert((owner.clone(), key), version);
+            if former != Some(version) {
                 self.receive_record(now_ms, owner, zone, key, record);
             }
         }
-        self.remove_absent_members(&zones);
+        self.remove_absent_members(&zone_by_member);
         members
     }
 
@@ -137,14 +138,14 @@
     }
 
     /// Removes the reports, decisions and contradictions of members that are not present any more.
-    /// `zones` are the zones of the present members. Record versions are cleaned up only after they
+    /// `zone_by_member` has the present members. Record versions are cleaned up only after they
     /// outnumber the members several times.
-    fn remove_absent_members(&mut self, zones: &BTreeMap<&Name, &Name>) {
-        if self.received.len() > 4 * zones.len() + 16 {
-            self.received
-                .retain(|(owner, _), _| zones.contains_key(owner));
+    fn remove_absent_members(&mut self, zone_by_member: &BTreeMap<&Name, &Name>) {
+        if self.received_versions.len() > 4 * zone_by_member.len() + 16 {
+            self.received_versions
+                .retain(|(owner, _), _| zone_by_member.contains_key(owner));
         }
-        let present: BTreeSet<&str> = zones.keys().map(|name| name.as_str()).collect();
+        let present: BTreeSet<&str> = zone_by_member.keys().map(|name| name.as_str()).collect();
         self.reports.retain(|owner| present.contains(owner));
         self.member_decisions
             .retain(|owner, _| present.contains(owner.as_str()));
--- a/crates/evacuation/src/coordinator/verdicts.rs
+++ b/crates/evacuation/src/coordinator/verdicts.rs
@@ -6,7 +6,7 @@
 use std::hash::{Hash, Hasher};
 use woadstall_decisions::api::{FailureDomain, HealthVerdict, Time, ZoneId};
 use woadstall_health_reports::Subject;
-use woadstall_membership::{Name, Node, Verdict as MemberState};
+use woadstall_membership::{Name, Node, Verdict as MemberVerdict};
 
 const SECOND_NS: Time = 1_000_000_000;
 /// The validity of a verdict, in nanoseconds. After a verdict expires without renewal, the decision
@@ -130,19 +130,19 @@
             return share;
         }
         let epoch = self.engine.state(subject).epoch;
-        let Some(members) = trial_members(node, now, subject, epoch) else {
+        let Some(trial_members) = trial_member_count(node, now, subject, epoch) else {
             return share;
         };
         let calls_per_second = self.calls.attempts_per_second(now).max(TRIALS_PER_SECOND);
-        let trial_share = TRIALS_PER_SECOND / members as f64 / calls_per_second;
+        let trial_share = TRIALS_PER_SECOND / trial_members as f64 / calls_per_second;
         share.max(trial_share.min(MAX_TRIAL_SHARE))
     }
 }
 
 /// Returns the number of members of this balancer's zone that send trials to a domain, if this
-/// balancer is one of them. The members are chosen by a hash of name, domain and epoch, so that they
-/// need no agreement.
-fn trial_members(node: &Node, now: Time, subject: &Subject, epoch: u32) -> Option<usize> {
+/// balancer is one of them. The members are chosen by a hash of their name, the domain and its
+/// epoch, so that they need no agreement.
+fn trial_member_count(node: &Node, now: Time, subject: &Subject, epoch: u32) -> Option<usize> {
     let rank = |name: &Name| {
         let mut hasher = SipHasher24::new_with_keys(u64::from(epoch), 1);
         hasher.write(name.as_str().as_bytes());
@@ -153,11 +153,11 @@
     let own_rank = rank(&local.name);
     let (mut members, mut lower_ranked) = (1, 0);
     for member in node.observations(now) {
-        let is_heard = matches!(
+        let is_running = matches!(
             member.verdict,
-            MemberState::Alive | MemberState::Partitioned { .. }
+            MemberVerdict::Alive | MemberVerdict::Partitioned { .. }
         );
-        if member.metadata.zone == local.zone && is_heard {
+        if member.metadata.zone == local.zone && is_running {
             members += 1;
             lower_ranked += usize::from(rank(&member.metadata.name) < own_rank);
         }
--- a/crates/evacuation/src/domain_state.rs
+++ b/crates/evacuation/src/domain_state.rs
@@ -14,7 +14,7 @@
 /// The shares that a domain passes through while it is drained step by step.
 const DRAIN_SHARES: [f64; 4] = [0.6, 0.3, 0.1, 0.0];
 /// A domain whose failure rate is at least this at its lower bound is evacuated in one step, because
-/// at that rate nothing is lost by it.
+/// at that rate nothing is lost by moving all of its work at once.
 const EVACUATE_AT_ONCE_FAILURE_RATE: f64 = 0.4;
 /// A domain whose rate of failed or slow calls is at least this at its lower bound is evacuated in
 /// one step if the other domains have capacity for its work.
@@ -55,7 +55,8 @@
     Restoring,
     /// The domain is being drained, and its share shrinks.
     Draining,
-    /// The domain gets no new work except trials.
+    /// The domain gets no new work except trials, a few calls that show whether it is healthy
+    /// again.
     Evacuated,
 }
 
@@ -225,9 +226,9 @@
         assessment: &Assessment,
         alternatives: &Alternatives,
     ) {
-        let is_over = self.is_min_evacuation_over(now);
+        let is_min_over = self.is_min_evacuation_over(now);
         let is_healthy = assessment.health >= MIN_RESTORE_HEALTH && !assessment.is_unhealthy;
-        if is_over && is_healthy || alternatives.is_last {
+        if is_min_over && is_healthy || alternatives.is_last {
             self.begin_restoring(now, Cause::Evidence(assessment.symptom));
         }
     }
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! The decision engine. It derives the state of each domain from the reports of all members.
 //!
-//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: adoption of other members'
-//! decisions, zones, classes, servers, regions, operators' orders to restore a domain. The rule for
-//! orders is in this module; each other rule has a module of its own.
+//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: it adopts other members'
+//! decisions, advances the states of zones, classes, servers and regions, and applies operators'
+//! orders to restore a domain. The rule for orders is in this module; each other rule has a module
+//! of its own.
 
 mod adoption;
 mod alternatives;
--- a/crates/evacuation/src/engine/regions.rs
+++ b/crates/evacuation/src/engine/regions.rs
@@ -1,4 +1,4 @@
-//! The rule for regions most of which is evacuated.
+//! The rule for regions that are mostly evacuated.
 
 use super::{EngineInput, EvacuationEngine};
 use std::collections::BTreeMap;
@@ -16,24 +16,26 @@
 }
 
 impl RegionSize {
-    /// Returns whether enough of the region's size is in use.
-    fn is_sound(&self) -> bool {
+    /// Returns whether more than [`MIN_IN_USE_FRACTION`] of the region's size is in use.
+    fn is_mostly_in_use(&self) -> bool {
         self.total > 0.0 && self.in_use > self.total * MIN_IN_USE_FRACTION
     }
 }
 
 impl EvacuationEngine {
-    /// Evacuates the rest of a region in one step, rather than zone by zone, if most of the region
-    /// is evacuated and another region is sound. Takes the region back into use in the same way.
+    /// Evacuates the rest of a region in one step, rather than zone by zone, if the region is
+    /// mostly evacuated and another region is mostly in use. Takes the region back into use in the
+    /// same way.
     pub(super) fn step_regions(&mut self, now: Time, input: &EngineInput<'_>) {
         let sizes = self.region_sizes(input);
-        let has_sound_other = |region: &Subject| {
+        let is_other_in_use = |region: &Subject| {
             sizes
                 .iter()
-                .any(|(other, size)| other != region && size.is_sound())
+                .any(|(other, size)| other != region && size.is_mostly_in_use())
         };
         for (subject, size) in &sizes {
-            let is_evacuated = size.total > 0.0 && !size.is_sound() && has_sound_other(subject);
+            let is_evacuated =
+                size.total > 0.0 && !size.is_mostly_in_use() && is_other_in_use(subject);
             let mut state = self.state(subject);
             if is_evacuated == (state.share < 1.0) {
                 continue;
--- a/crates/evacuation/src/order.rs
+++ b/crates/evacuation/src/order.rs
@@ -65,17 +65,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
     /// The order table already has this order or a newer one for the domain.
-    #[error("a newer order holds")]
+    #[error("the domain already has this order or a newer one")]
     Superseded,
     /// The order was issued more than 24 hours in the future. Until then, no other order could
     /// overrule it.
-    #[error("the order's time of issue is too far in the future")]
+    #[error("the order was issued more than 24 hours in the future")]
     IssuedInFuture,
     /// The order has already expired.
-    #[error("the order has ended")]
+    #[error("the order has expired")]
     Expired,
     /// The maximum number of other domains already have orders.
-    #[error("there are too many orders")]
+    #[error("too many domains have orders")]
     TooMany,
 }
 
--- a/crates/evacuation/tests/domain_state.rs
+++ b/crates/evacuation/tests/domain_state.rs
@@ -285,8 +285,8 @@
         }
         if let Ok(decoded) = OrderTable::decode(&bytes) {
             let mut orders = OrderTable::default();
-            let taken = decoded.into_iter().filter(|order| orders.submit(1_000, *order).is_ok()).count();
-            prop_assert!(orders.encode(256).len() <= 256 && orders.is_empty() == (taken == 0));
+            let accepted = decoded.into_iter().filter(|order| orders.submit(1_000, *order).is_ok()).count();
+            prop_assert!(orders.encode(256).len() <= 256 && orders.is_empty() == (accepted == 0));
         }
     }
 }
--- a/crates/evacuation/tests/fleet/mod.rs
+++ b/crates/evacuation/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! A small fleet of coordinators whose balancers call servers with given faults.
 
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses a part of this module")]
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 pub const STEP: u64 = 100 * MS;
 /// The Unix time at the start of a run, in milliseconds.
 pub const UNIX_MS: u64 = 1_767_225_600_000;
-/// The zones, each with its region.
+/// The names of the zones, each with the name of its region.
 pub const ZONES: [(&str, &str); 3] = [
     ("norte", "litoral"),
     ("centro", "litoral"),
@@ -58,8 +58,9 @@
 pub struct Balancer {
     pub node: Node,
     pub coordinator: Coordinator,
+    /// The number of calls made so far.
     calls: u32,
-    /// The calls that hang, each with the time at which it was sent.
+    /// The hanging calls, each with the time at which it was sent.
     hanging: Vec<(PendingAttempt, u64)>,
 }
 
@@ -121,10 +122,13 @@
             self.make_call(now, random, faults);
         }
         self.end_hanging_calls(now);
-        let pending = self.hanging.iter().map(|(pending, sent)| PendingAttempt {
-            age_ns: now - sent,
-            ..*pending
-        });
+        let pending = self
+            .hanging
+            .iter()
+            .map(|(pending, sent_at)| PendingAttempt {
+                age_ns: now - sent_at,
+                ..*pending
+            });
         self.coordinator.record_pending(now, pending);
     }
 
@@ -168,10 +172,10 @@
 
     fn end_hanging_calls(&mut self, now: u64) {
         let timeout = 1_000 * MS;
-        let has_timed_out = |sent: u64| now >= sent + timeout;
+        let has_timed_out = |sent_at: u64| now >= sent_at + timeout;
         for (pending, _) in self
             .hanging
-            .extract_if(.., |(_, sent)| has_timed_out(*sent))
+            .extract_if(.., |(_, sent_at)| has_timed_out(*sent_at))
         {
             let completed = CompletedAttempt {
                 id: pending.id,
@@ -224,20 +228,26 @@
         .collect();
     let mut messages: VecDeque<(usize, Vec<u8>)> = VecDeque::new();
     for number in 0..fleet.len() {
-        while let Some(out) = fleet[number].node.next_outgoing() {
-            messages.push_back((by_address[&out.to], out.bytes));
+        while let Some(message) = fleet[number].node.next_outgoing() {
+            messages.push_back((by_address[&message.to], message.bytes));
         }
         while let Some((to, bytes)) = messages.pop_front() {
             fleet[to].node.receive(now, &bytes).unwrap();
-            while let Some(out) = fleet[to].node.next_outgoing() {
-                messages.push_back((by_address[&out.to], out.bytes));
+            while let Some(message) = fleet[to].node.next_outgoing() {
+                messages.push_back((by_address[&message.to], message.bytes));
             }
         }
     }
 }
 
 /// Submits an order to the second balancer. The order is valid for 4 s.
-pub fn order(fleet: &mut [Balancer], now: u64, kind: SubjectKind, name: &str, action: OrderAction) {
+pub fn submit_order(
+    fleet: &mut [Balancer],
+    now: u64,
+    kind: SubjectKind,
+    name: &str,
+    action: OrderAction,
+) {
     let coordinator = &mut fleet[1].coordinator;
     let subject = coordinator.order_subject(kind, name).unwrap();
     let issued_ms = UNIX_MS + now / MS;
--- a/crates/evacuation/tests/golden.rs
+++ b/crates/evacuation/tests/golden.rs
@@ -92,11 +92,11 @@
 );
 
 fn encoded_orders() -> Vec<u8> {
-    let mut all = OrderTable::default();
+    let mut table = OrderTable::default();
     for order in orders() {
-        assert!(all.submit(NOW_MS, order).is_ok());
+        assert!(table.submit(NOW_MS, order).is_ok());
     }
-    all.encode(256)
+    table.encode(256)
 }
 
 #[test]
--- a/crates/evacuation/tests/golden_fleet.rs
+++ b/crates/evacuation/tests/golden_fleet.rs
@@ -4,7 +4,9 @@
 
 mod fleet;
 
-use fleet::{Digest, MS, Random, SERVERS_PER_ZONE, STEP, UNIX_MS, deliver, new_fleet, order};
+use fleet::{
+    Digest, MS, Random, SERVERS_PER_ZONE, STEP, UNIX_MS, deliver, new_fleet, submit_order,
+};
 use woadstall_evacuation::OrderAction;
 use woadstall_health_reports::SubjectKind;
 
@@ -33,28 +35,28 @@
     for step in 1..=STEPS {
         let now = step * STEP;
         match step {
-            765 => order(
+            765 => submit_order(
                 &mut fleet,
                 now,
                 SubjectKind::Zone,
                 "sur",
                 OrderAction::Evacuate,
             ),
-            770 => order(
+            770 => submit_order(
                 &mut fleet,
                 now,
                 SubjectKind::Region,
                 "litoral",
                 OrderAction::Keep,
             ),
-            775 => order(
+            775 => submit_order(
                 &mut fleet,
                 now,
                 SubjectKind::Server,
                 "nodo-3",
                 OrderAction::Evacuate,
             ),
-            155 => order(
+            155 => submit_order(
                 &mut fleet,
                 now,
                 SubjectKind::Zone,
--- a/crates/evacuation/tests/restore_orders.rs
+++ b/crates/evacuation/tests/restore_orders.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::{
-    Balancer, Digest, MS, Random, SERVERS_PER_ZONE, STEP, UNIX_MS, deliver, new_fleet, order,
+    Balancer, Digest, MS, Random, SERVERS_PER_ZONE, STEP, UNIX_MS, deliver, new_fleet, submit_order,
 };
 use woadstall_evacuation::OrderAction;
 use woadstall_health_reports::SubjectKind;
@@ -37,14 +37,14 @@
 fn an_order_to_restore_a_zone_that_goes_on_failing_does_not_make_it_flap() {
     let mut fleet = new_fleet();
     let (mut random, mut digest) = (Random(4_711), Digest(0));
-    let mut before = None;
+    let mut epoch_before = None;
     for step in 1..=LAST_STEP {
         let now = step * STEP;
         if step == ORDER_STEP {
             let (phase, epoch) = zone_status(&fleet[1], now);
             assert_eq!(phase, "left", "the zone is evacuated before the order");
-            before = Some(epoch);
-            order(
+            epoch_before = Some(epoch);
+            submit_order(
                 &mut fleet,
                 now,
                 SubjectKind::Zone,
@@ -61,6 +61,6 @@
         }
     }
     let (_, epoch) = zone_status(&fleet[1], LAST_STEP * STEP);
-    let changes = epoch - before.expect("the order was given");
+    let changes = epoch - epoch_before.expect("the order was given");
     assert!((2..=6).contains(&changes), "{changes} changes in 3.5 s");
 }
