--- a/crates/request-reports/src/summary.rs
+++ b/crates/request-reports/src/summary.rs
@@ -27,10 +27,10 @@
     pub fn add(&mut self, second: u64, report: &RequestReport) {
         let cause = report.cause;
         self.reports += 1;
-        count(&mut self.by_second, second, cause, 1);
-        count(&mut self.by_route, report.route.clone(), cause, 1);
+        add_count(&mut self.by_second, second, cause, 1);
+        add_count(&mut self.by_route, report.route.clone(), cause, 1);
         let zone = report.balancer_zone.clone();
-        count(&mut self.by_balancer_zone, zone, cause, 1);
+        add_count(&mut self.by_balancer_zone, zone, cause, 1);
         if let Some(first) = report.first_data_ms {
             let latencies = self.first_data_ms.entry(report.route.clone());
             latencies.or_default().push(first);
@@ -40,7 +40,7 @@
             let outcomes = self.by_upstream.entry(upstream).or_default();
             *outcomes.entry(attempt.outcome).or_default() += 1;
             for (reason, exclusions) in &attempt.excluded {
-                count(&mut self.by_exclusion, reason.clone(), cause, *exclusions);
+                add_count(&mut self.by_exclusion, reason.clone(), cause, *exclusions);
             }
         }
     }
@@ -69,6 +69,6 @@
     }
 }
 
-fn count<K: Ord>(counts: &mut BTreeMap<K, CauseCounts>, key: K, cause: Cause, added: usize) {
-    *counts.entry(key).or_default().entry(cause).or_default() += added;
+fn add_count<K: Ord>(counts: &mut BTreeMap<K, CauseCounts>, key: K, cause: Cause, count: usize) {
+    *counts.entry(key).or_default().entry(cause).or_default() += count;
 }
--- a/crates/request-reports/src/tables.rs
+++ b/crates/request-reports/src/tables.rs
@@ -2,6 +2,7 @@
 
 use crate::outcome::{AttemptOutcome, Cause};
 use crate::summary::{CauseCounts, Summary};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
@@ -78,10 +79,10 @@
 ) -> fmt::Result {
     let mut failed: Vec<_> = by_upstream
         .iter()
-        .map(|(upstream, outcomes)| (failures(outcomes), upstream, outcomes))
+        .map(|(upstream, outcomes)| (count_failures(outcomes), upstream, outcomes))
         .filter(|(failures, ..)| *failures > 0)
         .collect();
-    failed.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(b.1)));
+    failed.sort_by_key(|(failures, upstream, _)| (Reverse(*failures), *upstream));
     let (zone, upstream) = ("zone", "upstream");
     writeln!(
         formatter,
@@ -98,7 +99,7 @@
 }
 
 /// Returns the number of attempts that did not complete.
-fn failures(outcomes: &BTreeMap<AttemptOutcome, usize>) -> usize {
+fn count_failures(outcomes: &BTreeMap<AttemptOutcome, usize>) -> usize {
     outcomes
         .iter()
         .filter(|(outcome, _)| **outcome != AttemptOutcome::Completed)
--- a/crates/request-reports/tests/reports.rs
+++ b/crates/request-reports/tests/reports.rs
@@ -53,12 +53,12 @@
     let full = report(cause);
     let line = format!("10:20:30.123 INFO {full}");
     assert_eq!(line.parse(), Ok(full));
-    let bare = RequestReport {
+    let without_attempts = RequestReport {
         first_data_ms: None,
         attempts: Vec::new(),
         ..report(cause)
     };
-    assert_eq!(bare.to_string().parse(), Ok(bare));
+    assert_eq!(without_attempts.to_string().parse(), Ok(without_attempts));
 }
 
 #[test]
@@ -81,11 +81,11 @@
     field: &'static str,
 ) {
     let line = report(Cause::TargetMissed).to_string();
-    let parts = line.strip_prefix(LINE_PREFIX).unwrap().split(' ');
-    let without: Vec<&str> = parts
-        .filter(|part| !part.starts_with(&format!("{field}=")))
+    let pairs = line.strip_prefix(LINE_PREFIX).unwrap().split(' ');
+    let other_pairs: Vec<&str> = pairs
+        .filter(|pair| !pair.starts_with(&format!("{field}=")))
         .collect();
-    let incomplete = format!("{LINE_PREFIX}{}", without.join(" "));
+    let incomplete = format!("{LINE_PREFIX}{}", other_pairs.join(" "));
     assert_eq!(
         incomplete.parse::<RequestReport>(),
         Err(ParseReportError::MissingField(field))
