--- a/crates/membership-net/src/driver.rs
+++ b/crates/membership-net/src/driver.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 use woadstall_membership::{Event, OutgoingMessage, Timestamp};
 
-/// Maximum number of datagrams read before other work is done.
+/// Maximum number of datagrams read before the event loop runs due timers and other work.
 const DATAGRAM_BATCH: usize = 16;
 /// Length in bytes of the longest possible datagram. A shorter buffer would truncate datagrams, and
 /// truncated datagrams would fail authentication and be counted as messages of another key.
@@ -62,11 +62,11 @@
 }
 
 /// Waiting times of the event loop after a step.
-struct Step {
+struct StepWaits {
     /// Time until the next timer.
-    sleep: Duration,
+    until_timer: Duration,
     /// Time until received messages may be processed, or `None` if they may be processed now.
-    receive_wait: Option<Duration>,
+    until_receive: Option<Duration>,
 }
 
 /// State of the event loop.
@@ -107,18 +107,20 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut connection_checks = tokio::time::interval(CONNECTION_CHECK_INTERVAL);
         loop {
-            let step = self.step();
-            let receive_wait = step.receive_wait;
+            let StepWaits {
+                until_timer,
+                until_receive,
+            } = self.step();
             tokio::select! {
                 biased;
                 _ = shutdown.wait_for(Option::is_some) => break,
-                () = sleep(step.sleep) => {}
+                () = sleep(until_timer) => {}
                 _ = connection_checks.tick() => self.check_connections(),
                 () = self.shared.notified() => {}
-                Ok(()) = self.datagrams.readable(), if receive_wait.is_none() => {
+                Ok(()) = self.datagrams.readable(), if until_receive.is_none() => {
                     self.receive_datagrams(&mut buffer);
                 }
-                () = sleep(receive_wait.unwrap_or_default()), if receive_wait.is_some() => {}
+                () = sleep(until_receive.unwrap_or_default()), if until_receive.is_some() => {}
             }
         }
         if *shutdown.borrow() == Some(Shutdown::Graceful) {
@@ -130,14 +132,14 @@
     }
 
     /// Runs the due timers, sends the resulting messages and logs the resulting events.
-    fn step(&mut self) -> Step {
+    fn step(&mut self) -> StepWaits {
         let started_at = Instant::now();
         let (now, mut endpoint) = (self.shared.now(), self.shared.endpoint());
         if self.shared.is_hung(now) {
             endpoint.rejections.hung_steps += 1;
-            return Step {
-                sleep: HUNG_INTERVAL,
-                receive_wait: None,
+            return StepWaits {
+                until_timer: HUNG_INTERVAL,
+                until_receive: None,
             };
         }
         endpoint.node.tick(now);
@@ -149,12 +151,12 @@
             log_event(&self.log, &event, &endpoint.node);
         }
         self.rejection_log.log_if_due(now, &endpoint, &self.log);
-        let sleep = endpoint.node.next_deadline().saturating_sub(now);
+        let until_deadline_ns = endpoint.node.next_deadline().saturating_sub(now);
         // A flood of messages also costs processing time in the steps between its messages.
         endpoint.receive_budget.spend(started_at.elapsed());
-        Step {
-            sleep: Duration::from_nanos(sleep.max(MIN_SLEEP_NS)),
-            receive_wait: endpoint.receive_budget.wait(now),
+        StepWaits {
+            until_timer: Duration::from_nanos(until_deadline_ns.max(MIN_SLEEP_NS)),
+            until_receive: endpoint.receive_budget.wait(now),
         }
     }
 
--- a/crates/membership-net/src/endpoint.rs
+++ b/crates/membership-net/src/endpoint.rs
@@ -23,7 +23,7 @@
     pub receive_budget: ReceiveBudget,
     /// Index of the first target of the next round of connection checks, modulo the number of
     /// targets.
-    next_check: usize,
+    next_check_index: usize,
 }
 
 impl Endpoint {
@@ -34,7 +34,7 @@
             authenticator,
             rejections: RejectionCounters::default(),
             receive_budget: ReceiveBudget::default(),
-            next_check: 0,
+            next_check_index: 0,
         }
     }
 
@@ -72,13 +72,16 @@
     pub fn connection_checks(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         let targets = self.node.connection_check_targets(now);
         let targets: Vec<SocketAddr> = targets.map(|member| member.address).collect();
-        let first = self.next_check.checked_rem(targets.len()).unwrap_or(0);
-        self.next_check = self.next_check.wrapping_add(MAX_CONNECTION_CHECKS);
+        let first_index = self
+            .next_check_index
+            .checked_rem(targets.len())
+            .unwrap_or(0);
+        self.next_check_index = self.next_check_index.wrapping_add(MAX_CONNECTION_CHECKS);
         let count = MAX_CONNECTION_CHECKS.min(targets.len());
         targets
             .iter()
             .cycle()
-            .skip(first)
+            .skip(first_index)
             .take(count)
             .copied()
             .collect()
--- a/crates/membership-net/src/log.rs
+++ b/crates/membership-net/src/log.rs
@@ -9,21 +9,21 @@
 
 /// The member that raised a suspicion or declared a death, as a log field.
 struct Reporter<'a> {
-    by: Option<&'a Name>,
-    local: &'a Name,
+    name: Option<&'a Name>,
+    local_name: &'a Name,
 }
 
 impl<'a> Reporter<'a> {
-    fn new(by: Option<&'a Name>, local: &'a Name) -> Self {
-        Self { by, local }
+    fn new(name: Option<&'a Name>, local_name: &'a Name) -> Self {
+        Self { name, local_name }
     }
 }
 
 impl fmt::Display for Reporter<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.by {
-            Some(by) if by == self.local => f.write_str("local"),
-            Some(by) => write!(f, "{by}"),
+        match self.name {
+            Some(name) if name == self.local_name => f.write_str("local"),
+            Some(name) => write!(f, "{name}"),
             None => f.write_str("unknown"),
         }
     }
@@ -31,7 +31,7 @@
 
 /// Logs an event in a single line.
 pub fn log_event(log: &LogSink, event: &Event, node: &Node) {
-    let local = &node.local().name;
+    let local_name = &node.local().name;
     match event {
         Event::Joined(member) => {
             let (name, zone, address) = (&member.name, &member.zone, member.address);
@@ -41,13 +41,13 @@
         }
         Event::Recovered(name) => log(format_args!("membership: member recovered name={name}")),
         Event::Suspected { name, by } => {
-            let by = Reporter::new(by.as_ref(), local);
+            let by = Reporter::new(by.as_ref(), local_name);
             log(format_args!(
                 "membership: member suspected name={name} by={by}"
             ));
         }
         Event::Dead { name, by } => {
-            let by = Reporter::new(by.as_ref(), local);
+            let by = Reporter::new(by.as_ref(), local_name);
             log(format_args!("membership: member dead name={name} by={by}"));
         }
         Event::Left(name) => log(format_args!("membership: member left name={name}")),
@@ -59,10 +59,10 @@
         }
         Event::NameConflict {
             name,
-            addresses: [own, other],
+            addresses: [own_address, other_address],
         } => {
             log(format_args!(
-                "membership: name conflict name={name} address={own} other_address={other}"
+                "membership: name conflict name={name} address={own_address} other_address={other_address}"
             ));
         }
         Event::IsolationChanged { is_isolated } => {
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -274,7 +274,7 @@
         let mut members: Vec<MemberReport> = observations
             .map(|observation| MemberReport::new(node, &observation, now))
             .collect();
-        members.sort_by(|one, other| one.name.cmp(&other.name));
+        members.sort_by(|a, b| a.name.cmp(&b.name));
         let zone_paths = node.zone_paths(now).into_iter();
         let zone_paths = zone_paths
             .map(|((from, to), counts)| ZonePathReport::new(from.as_str(), to.as_str(), counts));
--- a/crates/membership-net/src/shared.rs
+++ b/crates/membership-net/src/shared.rs
@@ -25,6 +25,7 @@
 pub struct Shared {
     endpoint: Mutex<Endpoint>,
     started_at: Instant,
+    /// Wakes the member's thread.
     notify: Notify,
     /// Time of the most recent heartbeat of the thread that serves requests; 0 before the first
     /// heartbeat.
--- a/crates/membership-net/tests/golden.rs
+++ b/crates/membership-net/tests/golden.rs
@@ -50,8 +50,8 @@
 impl Peer {
     fn new() -> Self {
         let streams = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = streams.local_addr().unwrap();
-        let datagrams = UdpSocket::bind(at).unwrap();
+        let address = streams.local_addr().unwrap();
+        let datagrams = UdpSocket::bind(address).unwrap();
         datagrams
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
@@ -61,7 +61,7 @@
                 started_ms: 5,
                 id: 6,
             },
-            address: at,
+            address,
             zone: name("sur"),
             region: None,
         };
@@ -135,16 +135,16 @@
     peer.datagrams
         .send_to(&peer.message(Body::StateRequest), member.address())
         .unwrap();
-    let all = loop {
+    let received = loop {
         let (mut stream, _) = peer.streams.accept().unwrap();
-        let mut all = Vec::new();
-        stream.read_to_end(&mut all).unwrap();
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).unwrap();
         // A stream without data is a connection check.
-        if !all.is_empty() {
-            break all;
+        if !received.is_empty() {
+            break received;
         }
     };
-    let (length, bytes) = all.split_first_chunk::<4>().unwrap();
+    let (length, bytes) = received.split_first_chunk::<4>().unwrap();
     assert_eq!(u32::from_be_bytes(*length) as usize, bytes.len());
     let message = Message::decode(bytes, 256).unwrap();
     assert_eq!(
--- a/crates/membership-net/tests/sockets.rs
+++ b/crates/membership-net/tests/sockets.rs
@@ -44,19 +44,20 @@
     }
 }
 
-/// State of a member as reported by another member.
-fn state(by: &Membership, name: &str) -> Option<StateReport> {
-    let members = by.report().members;
+/// State of the member `name` as reported by another member.
+fn state(reporter: &Membership, name: &str) -> Option<StateReport> {
+    let members = reporter.report().members;
     let member = members.into_iter().find(|member| member.name == name);
     member.map(|member| member.state)
 }
 
-fn is_alive(by: &Membership, name: &str) -> bool {
-    state(by, name) == Some(StateReport::Alive)
+fn is_alive(reporter: &Membership, name: &str) -> bool {
+    state(reporter, name) == Some(StateReport::Alive)
 }
 
-fn size(of: &Membership) -> usize {
-    of.report().min_size
+/// Number of alive members as reported by a member, including itself.
+fn fleet_size(reporter: &Membership) -> usize {
+    reporter.report().min_size
 }
 
 fn write_key_file(folder: &Path, text: &str) -> PathBuf {
@@ -78,11 +79,12 @@
         .map(|number| start(config(&format!("b-{number}"), &key, &seeds)))
         .collect();
     wait_until("all members discover each other", || {
-        others.iter().chain([&first]).all(|one| size(one) == 5)
+        let mut members = others.iter().chain([&first]);
+        members.all(|member| fleet_size(member) == 5)
     });
     first.publish(name("load"), 9, b"17".to_vec()).unwrap();
-    let has_record = |one: &Membership| {
-        one.with_node(|node, _| {
+    let has_record = |member: &Membership| {
+        member.with_node(|node, _| {
             let record = node.record(&name("b-0"), &name("load"));
             record.is_some_and(|record| record.value == b"17")
         })
@@ -102,7 +104,7 @@
     runtime.block_on(leaving.leave());
     for (name, expected) in [("b-1", StateReport::Dead), ("b-2", StateReport::Left)] {
         wait_until(name, || {
-            let mut states = remaining.iter().map(|one| state(one, name));
+            let mut states = remaining.iter().map(|member| state(member, name));
             states.all(|state| state == Some(expected))
         });
     }
@@ -114,30 +116,33 @@
 fn floods_of_forged_messages_are_survived() {
     let folder = tempfile::tempdir().unwrap();
     let key = write_key_file(folder.path(), KEY);
-    let one = start(config("b-0", &key, &[]));
-    let other = start(config("b-1", &key, &[one.address()]));
+    let first = start(config("b-0", &key, &[]));
+    let second = start(config("b-1", &key, &[first.address()]));
     let outsider_folder = tempfile::tempdir().unwrap();
     let outsider_key = write_key_file(outsider_folder.path(), OTHER_KEY);
-    let seeds = [one.address(), other.address()];
+    let seeds = [first.address(), second.address()];
     let outsider = start(config("b-9", &outsider_key, &seeds));
     wait_until("two members with the same key discover each other", || {
-        size(&one) == 2 && size(&other) == 2
+        fleet_size(&first) == 2 && fleet_size(&second) == 2
     });
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let started_at = Instant::now();
     let mut datagram = [1_u8; 1_000];
     for number in 0..60_000_u32 {
         datagram[1..5].copy_from_slice(&number.to_be_bytes());
-        socket.send_to(&datagram, one.address()).ok();
+        socket.send_to(&datagram, first.address()).ok();
     }
     eprintln!("60,000 forged datagrams in {:?}", started_at.elapsed());
     wait_until("some forged datagrams are rejected", || {
-        one.report().rejections.other_key > 100
+        first.report().rejections.other_key > 100
     });
     wait_until("both members are alive after the flood", || {
-        is_alive(&one, "b-1") && is_alive(&other, "b-0")
+        is_alive(&first, "b-1") && is_alive(&second, "b-0")
     });
-    assert_eq!((state(&one, "b-9"), state(&outsider, "b-0")), (None, None));
+    assert_eq!(
+        (state(&first, "b-9"), state(&outsider, "b-0")),
+        (None, None)
+    );
 }
 
 /// The shared key is rotated on one member after another while all members keep running: the new
@@ -145,44 +150,48 @@
 #[test]
 fn keys_change_while_members_run() {
     let folders: Vec<TempDir> = (0..3).map(|_| tempfile::tempdir().unwrap()).collect();
-    let mut all: Vec<Membership> = Vec::new();
+    let mut members: Vec<Membership> = Vec::new();
     for (number, folder) in folders.iter().enumerate() {
-        let seeds: Vec<SocketAddr> = all.first().iter().map(|first| first.address()).collect();
+        let seeds: Vec<SocketAddr> = members
+            .first()
+            .iter()
+            .map(|first| first.address())
+            .collect();
         let key = write_key_file(folder.path(), KEY);
-        all.push(start(config(&format!("b-{number}"), &key, &seeds)));
+        members.push(start(config(&format!("b-{number}"), &key, &seeds)));
     }
     wait_until("all members discover each other", || {
-        all.iter().all(|one| size(one) == 3)
+        members.iter().all(|member| fleet_size(member) == 3)
     });
     let steps = [
         format!("{KEY}\n{OTHER_KEY}\n"),
         format!("{OTHER_KEY}\n{KEY}\n"),
         format!("# new\n{OTHER_KEY}\n"),
     ];
-    let received = |one: &Membership| one.report().messages_received;
+    let received = |member: &Membership| member.report().messages_received;
     for keys in steps {
-        for (one, folder) in all.iter().zip(&folders) {
+        for (member, folder) in members.iter().zip(&folders) {
             write_key_file(folder.path(), &keys);
-            one.reload().unwrap();
+            member.reload().unwrap();
         }
-        let before: Vec<u64> = all.iter().map(received).collect();
+        let counts_before: Vec<u64> = members.iter().map(received).collect();
         wait_until("members receive each other's messages", || {
-            let mut counts = all.iter().map(received).zip(&before);
-            counts.all(|(now, before)| now > before + 3)
+            let mut counts = members.iter().map(received).zip(&counts_before);
+            counts.all(|(count, count_before)| count > count_before + 3)
         });
-        let is_unaffected = |one: &Membership| {
-            let report = one.report();
+        let is_unaffected = |member: &Membership| {
+            let report = member.report();
             report.min_size == 3 && report.rejections.other_key == 0
         };
-        assert!(all.iter().all(is_unaffected));
+        assert!(members.iter().all(is_unaffected));
     }
     write_key_file(folders[0].path(), "not a key");
-    let error = all[0].reload().unwrap_err().to_string();
+    let error = members[0].reload().unwrap_err().to_string();
     assert!(
         error.contains("`key_file`") && error.contains("line 1"),
         "{error}"
     );
-    assert!(size(&all[0]) == 3);
+    assert!(fleet_size(&members[0]) == 3);
 }
 
 /// A log sink and the lines that it received.
@@ -200,11 +209,11 @@
     let folder = tempfile::tempdir().unwrap();
     let key = write_key_file(folder.path(), KEY);
     let (log, lines) = recording_log();
-    let before = start(config("b-0", &key, &[]));
-    let other = start(config("b-1", &key, &[before.address()]));
+    let predecessor = start(config("b-0", &key, &[]));
+    let other = start(config("b-1", &key, &[predecessor.address()]));
     wait_until("the predecessor is alive", || is_alive(&other, "b-0"));
     // Generations are ordered by their start time in milliseconds.
-    let started = other.report().members[0].started_ms;
+    let predecessor_started_ms = other.report().members[0].started_ms;
     let now_ms = || {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -212,32 +221,32 @@
             .as_millis()
     };
     wait_until("the start time of the predecessor is in the past", || {
-        now_ms() > started.into()
+        now_ms() > predecessor_started_ms.into()
     });
-    let mut next = config("b-0", &key, &[other.address()]);
-    next.listen = before.address();
-    let next = Membership::start(next, log).unwrap();
+    let mut successor_config = config("b-0", &key, &[other.address()]);
+    successor_config.listen = predecessor.address();
+    let successor = Membership::start(successor_config, log).unwrap();
     wait_until("the successor waits", || {
         let lines = lines.lock().unwrap();
         lines
             .iter()
             .any(|line| line.contains("address in use, waiting"))
     });
-    assert!(!next.is_bound());
+    assert!(!successor.is_bound());
     wait_until("the predecessor is still alive", || is_alive(&other, "b-0"));
-    drop(before);
-    wait_until("the successor binds the address", || next.is_bound());
+    drop(predecessor);
+    wait_until("the successor binds the address", || successor.is_bound());
     wait_until("the successor is known", || {
-        other.report().members[0].started_ms > started
+        other.report().members[0].started_ms > predecessor_started_ms
     });
-    next.heartbeat();
+    successor.heartbeat();
     wait_until("the hung process is suspected", || !is_alive(&other, "b-0"));
     wait_until("the member counts hung steps", || {
-        next.report().rejections.hung_steps > 0
+        successor.report().rejections.hung_steps > 0
     });
     let started_at = Instant::now();
     wait_until("the member is alive again", || {
-        next.heartbeat();
+        successor.heartbeat();
         is_alive(&other, "b-0")
     });
     eprintln!("alive again after {:?}", started_at.elapsed());
