--- a/crates/message-auth/src/key_ring.rs
+++ b/crates/message-auth/src/key_ring.rs
@@ -91,15 +91,15 @@
 }
 
 /// Parses a key and checks it against the preceding keys of the file.
-fn parse_key(line: &str, former: &[Vec<u8>]) -> Result<Vec<u8>, KeyLineError> {
+fn parse_key(line: &str, preceding: &[Vec<u8>]) -> Result<Vec<u8>, KeyLineError> {
     let key = parse_hexadecimal(line).ok_or(KeyLineError::NotHexadecimal)?;
     if key.len() < MIN_KEY_BYTES {
         return Err(KeyLineError::TooShort(key.len()));
     }
-    if former.contains(&key) {
+    if preceding.contains(&key) {
         return Err(KeyLineError::Duplicate);
     }
-    if former.len() == MAX_KEYS {
+    if preceding.len() == MAX_KEYS {
         return Err(KeyLineError::TooMany);
     }
     Ok(key)
--- a/crates/message-auth/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -51,9 +51,11 @@
 /// Signs the messages of one sender and verifies frames of other senders.
 pub struct MessageAuthenticator {
     keys: KeyRing,
+    /// The id of the sender that signs.
     sender: u64,
+    /// The sequence number of the most recently signed frame.
     last_sequence: u64,
-    windows: ReplayWindows,
+    replay_windows: ReplayWindows,
 }
 
 impl MessageAuthenticator {
@@ -63,7 +65,7 @@
             keys,
             sender,
             last_sequence: 0,
-            windows: ReplayWindows::default(),
+            replay_windows: ReplayWindows::default(),
         }
     }
 
@@ -80,7 +82,7 @@
         frame.extend(self.sender.to_be_bytes());
         frame.extend(self.last_sequence.to_be_bytes());
         frame.extend(message);
-        let code = code_of(self.keys.signing_key(), &frame).finalize();
+        let code = authentication_code(self.keys.signing_key(), &frame).finalize();
         frame.extend(&code.into_bytes()[..CODE_BYTES]);
         frame
     }
@@ -100,12 +102,16 @@
         let (signed, code) = frame.split_at(frame.len() - CODE_BYTES);
         // The code is compared in constant time, and before any signed content is examined.
         let mut keys = self.keys.iter();
-        if !keys.any(|key| code_of(key, signed).verify_truncated_left(code).is_ok()) {
+        if !keys.any(|key| {
+            authentication_code(key, signed)
+                .verify_truncated_left(code)
+                .is_ok()
+        }) {
             return Err(VerifyError::UnknownKey);
         }
         let sender = number_at(signed, SENDER_OFFSET);
         let sequence = number_at(signed, SEQUENCE_OFFSET);
-        match self.windows.accept(sender, sequence) {
+        match self.replay_windows.accept(sender, sequence) {
             true => Ok(&signed[HEADER_BYTES..]),
             false => Err(VerifyError::Replayed),
         }
@@ -119,7 +125,7 @@
 }
 
 /// Computes the authentication code of `bytes`, ready for verification or finalization.
-fn code_of(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
+fn authentication_code(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
     let mut code = Hmac::<Sha256>::new_from_slice(key)
         .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
     code.update(bytes);
--- a/crates/message-auth/tests/authentication.rs
+++ b/crates/message-auth/tests/authentication.rs
@@ -64,11 +64,11 @@
         let (mut sender, mut receiver) = (authenticator(KEY, 7), authenticator(KEY, 8));
         let frames: Vec<Vec<u8>> = (0..200_u32).map(|number| sender.sign(&number.to_be_bytes())).collect();
         let (mut received, mut highest) = (BTreeSet::new(), 0);
-        for at in order {
-            let accepted = receiver.verify(&frames[at]).is_ok();
-            let is_too_old = at + 64 <= highest;
-            prop_assert_eq!(accepted, received.insert(at) && !is_too_old, "{} behind {}", at, highest);
-            highest = highest.max(at);
+        for index in order {
+            let accepted = receiver.verify(&frames[index]).is_ok();
+            let is_too_old = index + 64 <= highest;
+            prop_assert_eq!(accepted, received.insert(index) && !is_too_old, "{} behind {}", index, highest);
+            highest = highest.max(index);
         }
     }
 
--- a/crates/message-auth/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -40,11 +40,11 @@
 /// byte value.
 #[test]
 fn signed_messages() {
-    let all: Vec<u8> = (0..=255).collect();
+    let all_bytes: Vec<u8> = (0..=255).collect();
     let messages: [(&str, &[u8]); 3] = [
         ("empty.hex", b""),
         ("short.hex", b"ping"),
-        ("all-bytes.hex", &all),
+        ("all-bytes.hex", &all_bytes),
     ];
     let (mut sender, mut receiver) = (authenticator(KEY, SENDER), authenticator(KEY, 2));
     for (file_name, message) in messages {
@@ -73,10 +73,13 @@
 /// A key longer than a block of the hash function.
 #[test]
 fn a_long_key_signs() {
-    let long = "5a".repeat(100);
-    assert_golden("long-key.hex", &authenticator(&long, SENDER).sign(b"ping"));
+    let long_key = "5a".repeat(100);
+    assert_golden(
+        "long-key.hex",
+        &authenticator(&long_key, SENDER).sign(b"ping"),
+    );
     assert_eq!(
-        authenticator(&long, 2).verify(&bytes_of("long-key.hex")),
+        authenticator(&long_key, 2).verify(&bytes_of("long-key.hex")),
         Ok(&b"ping"[..])
     );
 }
@@ -107,11 +110,11 @@
 
 #[test]
 fn invalid_key_files() {
-    let many = (0..4)
+    let too_many = (0..4)
         .map(|number| format!("{number}{}\n", "0".repeat(31)))
         .collect::<String>();
-    let twice = format!("{KEY}\n{KEY}");
-    let files = ["", "\nxyz", "abc", "0011", &twice, &many];
+    let duplicate = format!("{KEY}\n{KEY}");
+    let files = ["", "\nxyz", "abc", "0011", &duplicate, &too_many];
     let lines: String = files
         .iter()
         .map(|text| format!("{}\n", KeyRing::parse(text).unwrap_err()))
