--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -209,7 +209,7 @@
     /// is on the node's clock, in nanoseconds, as in [`Self::record_completed`]; `now_ms` is Unix
     /// time in milliseconds. An isolated balancer returns no verdicts.
     pub fn step(&mut self, now: Time, now_ms: u64, node: &mut Node) -> CoordinatorOutput {
-        let members = self.receive(now, now_ms, node);
+        let members_per_zone = self.receive(now, now_ms, node);
         self.published.is_order_update_pending |= self.orders.remove_expired(now_ms);
         let is_passive = node.confidence(now).is_isolated;
         let input = EngineInput {
@@ -219,7 +219,7 @@
             reports: &self.reports,
             zone_sizes: &self.zone_sizes,
             server_sizes: &self.server_sizes,
-            members: &members,
+            members_per_zone: &members_per_zone,
             member_decisions: &self.member_decisions,
             orders: &self.orders,
             is_passive,
@@ -227,7 +227,7 @@
         self.engine.step(now, &input);
         self.find_contradictions(now);
         let lines = self.take_lines();
-        self.publish(now, node, &members);
+        self.publish(now, node, &members_per_zone);
         let verdicts = if is_passive {
             Vec::new()
         } else {
--- a/crates/evacuation/src/coordinator/publish.rs
+++ b/crates/evacuation/src/coordinator/publish.rs
@@ -33,16 +33,16 @@
 }
 
 impl Coordinator {
-    /// Publishes the records that have changed enough. `members` are the numbers of members of each
-    /// zone that can report here.
+    /// Publishes the records that have changed enough. `members_per_zone` has the number of members
+    /// of each zone that can report to this balancer.
     pub(super) fn publish(
         &mut self,
         now: Time,
         node: &mut Node,
-        members: &BTreeMap<String, usize>,
+        members_per_zone: &BTreeMap<String, usize>,
     ) {
         let own_zone = node.local().zone.as_str().to_owned();
-        let own_zone_members = members.get(&own_zone).copied().unwrap_or(1);
+        let own_zone_members = members_per_zone.get(&own_zone).copied().unwrap_or(1);
         self.publish_health_report(now, node, own_zone_members);
         self.publish_decisions(now, node, &own_zone, own_zone_members);
         self.publish_orders(now, node);
--- a/crates/evacuation/src/coordinator/receive.rs
+++ b/crates/evacuation/src/coordinator/receive.rs
@@ -54,9 +54,9 @@
         now_ms: u64,
         node: &Node,
     ) -> BTreeMap<String, usize> {
-        let mut members: BTreeMap<String, usize> = BTreeMap::new();
+        let mut members_per_zone: BTreeMap<String, usize> = BTreeMap::new();
         let mut zone_by_member: BTreeMap<&Name, &Name> = BTreeMap::new();
-        *members
+        *members_per_zone
             .entry(node.local().zone.as_str().to_owned())
             .or_default() += 1;
         for member in node.observations(now) {
@@ -70,7 +70,7 @@
                 member.verdict,
                 MemberVerdict::Alive | MemberVerdict::Partitioned { .. }
             ) {
-                *members
+                *members_per_zone
                     .entry(member.metadata.zone.as_str().to_owned())
                     .or_default() += 1;
             }
@@ -92,7 +92,7 @@
             }
         }
         self.remove_absent_members(&zone_by_member);
-        members
+        members_per_zone
     }
 
     /// Stores the content of a new record. A health report that cannot be decoded is counted and
--- a/crates/evacuation/src/coordinator/report_selection.rs
+++ b/crates/evacuation/src/coordinator/report_selection.rs
@@ -97,7 +97,7 @@
     fn relevant_counts(&self, now: Time) -> Vec<ReportCandidate> {
         let stats = self
             .stats
-            .all(now)
+            .all_subjects(now)
             .filter(|stats| stats.counts.attempts >= MIN_ATTEMPTS);
         let is_relevant = |stats: &SubjectStats, candidate: &ReportCandidate| {
             let is_healthy = candidate.log_odds < -self.min_log_odds_change(&stats.subject);
@@ -142,7 +142,7 @@
             }
             let is_missing =
                 |subject: &Subject| candidates.iter().all(|known| known.subject != *subject);
-            let missing = self.stats.all(now).filter(|stats| {
+            let missing = self.stats.all_subjects(now).filter(|stats| {
                 stats.counts.attempts >= MIN_CLASS_ATTEMPTS
                     && zone.classes.contains(&stats.subject)
                     && is_missing(&stats.subject)
--- a/crates/evacuation/src/engine/adoption.rs
+++ b/crates/evacuation/src/engine/adoption.rs
@@ -17,7 +17,8 @@
     /// the best view of it.
     pub(super) fn adopt_decisions(&mut self, now: Time, input: &EngineInput<'_>) {
         for ((subject, zone), mut decisions) in relevant_decisions(now, input) {
-            let needed = max_faulty(input.members.get(zone).copied().unwrap_or(1)) + 1;
+            let group_size = input.members_per_zone.get(zone).copied().unwrap_or(1);
+            let needed = max_faulty(group_size) + 1;
             // Picks the newest decision that enough members have reached. A member with a later
             // decision has passed through the earlier ones as well.
             decisions.sort_by_key(|decision| Reverse((decision.epoch, decision.phase)));
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -53,7 +53,7 @@
     /// The size of each server in service. Other servers are not assessed.
     pub server_sizes: &'a BTreeMap<ServerId, f64>,
     /// The number of members of each zone that can report to this balancer, including itself.
-    pub members: &'a BTreeMap<String, usize>,
+    pub members_per_zone: &'a BTreeMap<String, usize>,
     /// The decisions that the other members have published, by the name of the member.
     pub member_decisions: &'a BTreeMap<String, MemberDecisions>,
     /// The operators' orders in effect.
@@ -91,7 +91,7 @@
             own_counts,
             baseline,
             needed_log_odds,
-            members: self.members,
+            members_per_zone: self.members_per_zone,
         };
         self.reports.assess(now, &query)
     }
--- a/crates/health-reports/src/assessment.rs
+++ b/crates/health-reports/src/assessment.rs
@@ -34,7 +34,7 @@
     /// [`crate::SERVER_UNHEALTHY_LOG_ODDS`].
     pub needed_log_odds: f64,
     /// The number of members of each zone, the observer included.
-    pub members: &'a BTreeMap<String, usize>,
+    pub members_per_zone: &'a BTreeMap<String, usize>,
 }
 
 /// The result of an assessment of a subject.
@@ -139,7 +139,7 @@
         let sum_for_zone = |zone: &str| {
             let others = by_zone.get(zone).cloned().unwrap_or_default();
             let size = query
-                .members
+                .members_per_zone
                 .get(zone)
                 .copied()
                 .unwrap_or(1)
--- a/crates/health-reports/src/call_stats.rs
+++ b/crates/health-reports/src/call_stats.rs
@@ -268,7 +268,7 @@
 
     /// Iterates over the counts of all subjects: the zones, each followed by its classes, then the
     /// servers.
-    pub fn all(&self, now: Time) -> impl Iterator<Item = SubjectStats> + '_ {
+    pub fn all_subjects(&self, now: Time) -> impl Iterator<Item = SubjectStats> + '_ {
         let zones = self.zones.iter().flat_map(|zone| {
             std::iter::once((zone.subject, zone.counts)).chain(zone.classes.iter().copied())
         });
--- a/crates/health-reports/tests/assessment.rs
+++ b/crates/health-reports/tests/assessment.rs
@@ -45,7 +45,7 @@
         own_counts: &own_counts,
         baseline: Baseline::default(),
         needed_log_odds: UNHEALTHY_LOG_ODDS,
-        members: &members,
+        members_per_zone: &members,
     };
     table.assess(now, &query)
 }
