--- a/crates/evacuation/src/engine/zones.rs
+++ b/crates/evacuation/src/engine/zones.rs
@@ -44,11 +44,12 @@
     });
     let mut counts: Vec<CallCounts> = counts.collect();
     counts.sort_by(|a, b| a.failed.total_cmp(&b.failed));
-    let Some(worst) = counts.pop() else {
+    let Some(worst_class) = counts.pop() else {
         return false;
     };
-    let rest = counts
+    let other_classes = counts
         .iter()
         .fold(CallCounts::default(), |total, counts| total.merged(counts));
-    rest.attempts >= MIN_KNOWN_CALLS && rest.failed < SINGLE_CLASS_FRACTION * worst.failed
+    other_classes.attempts >= MIN_KNOWN_CALLS
+        && other_classes.failed < SINGLE_CLASS_FRACTION * worst_class.failed
 }
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -170,16 +170,16 @@
         wants_reply: bool,
     ) {
         let shards = Vec::new();
-        let empty = self.message(
+        let empty_message = self.message(
             Some(to),
             Body::ShardState {
                 shards,
                 wants_reply,
             },
         );
-        let capacity = PAGE_BYTES.saturating_sub(encoded_size(&empty) + SHARDS);
+        let capacity = PAGE_BYTES.saturating_sub(encoded_size(&empty_message) + SHARDS);
         let new_page = || Page {
-            message: empty.clone(),
+            message: empty_message.clone(),
             bytes_left: capacity,
         };
         let (mut pages, mut page) = (Vec::new(), new_page());
--- a/crates/membership/src/node/relaying.rs
+++ b/crates/membership/src/node/relaying.rs
@@ -64,14 +64,14 @@
     /// or else any target, comes first: if only one member reaches both halves of a fleet, a random
     /// choice would rarely find it. Relays of several zones follow, then any other relays.
     fn choose_relays(&mut self, now: Timestamp, target: &MemberMetadata) -> Vec<MemberMetadata> {
-        let (max, plain_swim) = (self.settings.indirect_probes, self.settings.plain_swim);
-        let known = self.members.get(&target.name);
-        let is_doubtful = known.is_some_and(|member| {
+        let (max_relays, plain_swim) = (self.settings.indirect_probes, self.settings.plain_swim);
+        let known_target = self.members.get(&target.name);
+        let is_doubtful = known_target.is_some_and(|member| {
             !plain_swim && (self.is_partitioned(member, now) || member.paths.is_doubtful())
         });
-        let preferred = known.and_then(|member| member.reached_through.clone());
+        let preferred = known_target.and_then(|member| member.reached_through.clone());
         let preferred = preferred.or_else(|| self.last_successful_relay.clone());
-        let preferred = preferred.filter(|_| !plain_swim && max > 0);
+        let preferred = preferred.filter(|_| !plain_swim && max_relays > 0);
         let zones = match is_doubtful {
             true => DOUBTFUL_ZONES,
             false => USUAL_ZONES,
@@ -82,12 +82,12 @@
             chosen.extend(take_first(&mut candidates, |relay| relay.name == name));
         }
         for zone in zones {
-            if chosen.len() < max {
+            if chosen.len() < max_relays {
                 let is_in_zone = |relay: &_| zone.contains(relay, &self.local, target);
                 chosen.extend(take_first(&mut candidates, is_in_zone));
             }
         }
-        let missing = max.saturating_sub(chosen.len());
+        let missing = max_relays.saturating_sub(chosen.len());
         chosen.extend(candidates.into_iter().take(missing));
         for relay in &chosen {
             if let Some(member) = self.members.get_mut(&relay.name) {
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -256,8 +256,8 @@
         // messages other faults affect.
         let is_lost = self.rng.random::<f64>() < link.loss;
         let is_duplicated = self.rng.random::<f64>() < link.duplication;
-        let first = link.draw_delay(&mut self.rng);
-        let second = link.draw_delay(&mut self.rng);
+        let first_delay = link.draw_delay(&mut self.rng);
+        let second_delay = link.draw_delay(&mut self.rng);
         // A stream needs both directions and retransmits lost data.
         let is_partitioned = link.is_partitioned || message.reliable && return_link.is_partitioned;
         if is_partitioned || is_lost && !message.reliable {
@@ -267,12 +267,12 @@
         if is_unreachable && (to >= self.nodes.len() || self.hosts_refuse) {
             if to < self.nodes.len() && !return_link.is_partitioned {
                 let refusal = ScheduledEvent::Refusal { dead: to, to: from };
-                self.schedule(self.now + first + second, refusal);
+                self.schedule(self.now + first_delay + second_delay, refusal);
             }
             return;
         }
         let is_retransmitted = message.reliable && is_lost;
-        let first = first
+        let first_delay = first_delay
             + if is_retransmitted {
                 RETRANSMISSION_DELAY
             } else {
@@ -281,9 +281,15 @@
         let bytes = message.bytes;
         if is_duplicated && !message.reliable {
             let bytes = bytes.clone();
-            self.schedule(self.now + second, ScheduledEvent::Delivery { to, bytes });
+            self.schedule(
+                self.now + second_delay,
+                ScheduledEvent::Delivery { to, bytes },
+            );
         }
-        self.schedule(self.now + first, ScheduledEvent::Delivery { to, bytes });
+        self.schedule(
+            self.now + first_delay,
+            ScheduledEvent::Delivery { to, bytes },
+        );
     }
 
     /// Simulates the given duration.
