--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -53,7 +53,7 @@
 
 /// The text is empty, too long, or contains white space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a name has 1 to {} bytes and no white space", Name::MAX_BYTES)]
+#[error("a name has 1 to {} bytes and no blanks", Name::MAX_BYTES)]
 pub struct NameError;
 
 /// One run of a member's process. Observations of a former generation do not apply to the next.
