--- a/crates/evacuation/src/coordinator/mod.rs
+++ b/crates/evacuation/src/coordinator/mod.rs
@@ -95,7 +95,7 @@
     /// The sum of the sizes of the servers in service, by position of the zone.
     zone_sizes: Vec<f64>,
     /// The version of the newest record received for each owner and key.
-    received: BTreeMap<(Name, RecordKey), RecordVersion>,
+    received_versions: BTreeMap<(Name, RecordKey), RecordVersion>,
     member_decisions: BTreeMap<String, MemberDecisions>,
     published: PublishedRecords,
     /// The newest verdict returned for each domain with a reduced share.
@@ -124,7 +124,7 @@
             servers: BTreeMap::new(),
             server_sizes: BTreeMap::new(),
             zone_sizes: vec![0.0; zones.len()],
-            received: BTreeMap::new(),
+            received_versions: BTreeMap::new(),
             member_decisions: BTreeMap::new(),
             published: PublishedRecords::default(),
             reduced_verdicts: BTreeMap::new(),
@@ -209,7 +209,7 @@
     /// is on the node's clock, in nanoseconds, as in [`Self::record_completed`]; `now_ms` is Unix
     /// time in milliseconds. An isolated balancer returns no verdicts.
     pub fn step(&mut self, now: Time, now_ms: u64, node: &mut Node) -> CoordinatorOutput {
-        let members = self.receive(now, now_ms, node);
+        let members_per_zone = self.receive(now, now_ms, node);
         self.published.is_order_update_pending |= self.orders.remove_expired(now_ms);
         let is_passive = node.confidence(now).is_isolated;
         let input = EngineInput {
@@ -219,7 +219,7 @@
             reports: &self.reports,
             zone_sizes: &self.zone_sizes,
             server_sizes: &self.server_sizes,
-            members: &members,
+            members_per_zone: &members_per_zone,
             member_decisions: &self.member_decisions,
             orders: &self.orders,
             is_passive,
@@ -227,7 +227,7 @@
         self.engine.step(now, &input);
         self.find_contradictions(now);
         let lines = self.take_lines();
-        self.publish(now, node, &members);
+        self.publish(now, node, &members_per_zone);
         let verdicts = if is_passive {
             Vec::new()
         } else {
@@ -242,8 +242,8 @@
             .get(&self.settings.topology.order_subject(subject))
     }
 
-    /// Returns the share of its usual new work that a domain gets by orders and by the engine's
-    /// decision, apart from trials.
+    /// Returns the share of its usual new work that a domain gets according to its order and the
+    /// engine's decision, apart from trials.
     fn share(&self, subject: &Subject) -> f64 {
         match self.order_for(subject).map(|order| order.action) {
             Some(OrderAction::Evacuate) => 0.0,
--- a/crates/evacuation/src/engine/mod.rs
+++ b/crates/evacuation/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! The decision engine. It derives the state of each domain from the reports of all members.
 //!
-//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: adoption of other members'
-//! decisions, zones, classes, servers, regions, operators' orders to restore a domain. The rule for
-//! orders is in this module; each other rule has a module of its own.
+//! [`EvacuationEngine::step`] runs all rules once, in a fixed order: it adopts other members'
+//! decisions, advances the states of zones, classes, servers and regions, and applies operators'
+//! orders to restore a domain. The rule for orders is in this module; each other rule has a module
+//! of its own.
 
 mod adoption;
 mod alternatives;
@@ -52,7 +53,7 @@
     /// The size of each server in service. Other servers are not assessed.
     pub server_sizes: &'a BTreeMap<ServerId, f64>,
     /// The number of members of each zone that can report to this balancer, including itself.
-    pub members: &'a BTreeMap<String, usize>,
+    pub members_per_zone: &'a BTreeMap<String, usize>,
     /// The decisions that the other members have published, by the name of the member.
     pub member_decisions: &'a BTreeMap<String, MemberDecisions>,
     /// The operators' orders in effect.
@@ -90,7 +91,7 @@
             own_counts,
             baseline,
             needed_log_odds,
-            members: self.members,
+            members_per_zone: self.members_per_zone,
         };
         self.reports.assess(now, &query)
     }
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -170,16 +170,16 @@
         wants_reply: bool,
     ) {
         let shards = Vec::new();
-        let empty = self.message(
+        let empty_message = self.message(
             Some(to),
             Body::ShardState {
                 shards,
                 wants_reply,
             },
         );
-        let capacity = PAGE_BYTES.saturating_sub(encoded_size(&empty) + SHARDS);
+        let capacity = PAGE_BYTES.saturating_sub(encoded_size(&empty_message) + SHARDS);
         let new_page = || Page {
-            message: empty.clone(),
+            message: empty_message.clone(),
             bytes_left: capacity,
         };
         let (mut pages, mut page) = (Vec::new(), new_page());
@@ -200,7 +200,7 @@
         let numbers = (0..SHARDS as u8).filter(|shard| is_wanted(*shard));
         let mut updates: BTreeMap<u8, Vec<MemberUpdate>> =
             numbers.map(|shard| (shard, Vec::new())).collect();
-        let members = self.members.values().map(Member::update);
+        let members = self.members.values().map(Member::status_update);
         for update in std::iter::once(self.own_update()).chain(members) {
             if let Some(shard) = updates.get_mut(&shard_of(&update.metadata.name)) {
                 shard.push(update);
