--- a/crates/socket-options/src/lib.rs
+++ b/crates/socket-options/src/lib.rs
@@ -67,6 +67,7 @@
     FAILURES[option as usize].load(Ordering::Relaxed)
 }
 
+/// Counts the failure if `result` is an error, and logs the first failure of the option.
 fn count_failure(option: SocketOption, result: io::Result<()>) {
     let Err(error) = result else {
         return;
--- a/crates/socket-options/tests/refused_options.rs
+++ b/crates/socket-options/tests/refused_options.rs
@@ -12,17 +12,21 @@
 };
 
 /// A logger that stores all log lines.
-struct Lines(Mutex<Vec<String>>);
+struct StoringLogger {
+    lines: Mutex<Vec<String>>,
+}
 
-static LINES: Lines = Lines(Mutex::new(Vec::new()));
+static LOGGER: StoringLogger = StoringLogger {
+    lines: Mutex::new(Vec::new()),
+};
 
-impl Log for Lines {
+impl Log for StoringLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &Record<'_>) {
-        self.0.lock().unwrap().push(record.args().to_string());
+        self.lines.lock().unwrap().push(record.args().to_string());
     }
 
     fn flush(&self) {}
@@ -31,45 +35,45 @@
 /// A single test covers all options, since failure counts and the logger are shared by the whole process.
 #[test]
 fn a_refused_option_is_counted_logged_once_and_leaves_the_socket_usable() {
-    log::set_logger(&LINES).unwrap();
+    log::set_logger(&LOGGER).unwrap();
     log::set_max_level(LevelFilter::Warn);
 
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    set_nodelay(&stream);
-    set_receive_buffer(&stream, 1 << 16);
-    set_reuse_address(&stream);
-    set_reuse_port(&stream);
-    enable_dead_peer_detection(&stream, Duration::from_secs(2));
-    assert!(stream.nodelay().unwrap());
+    let tcp_stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    set_nodelay(&tcp_stream);
+    set_receive_buffer(&tcp_stream, 1 << 16);
+    set_reuse_address(&tcp_stream);
+    set_reuse_port(&tcp_stream);
+    enable_dead_peer_detection(&tcp_stream, Duration::from_secs(2));
+    assert!(tcp_stream.nodelay().unwrap());
     for option in SocketOption::ALL {
         assert_eq!(failures(option), 0, "{option:?}");
     }
-    assert!(LINES.0.lock().unwrap().is_empty());
+    assert!(LOGGER.lines.lock().unwrap().is_empty());
 
-    let (mut here, mut there) = UnixStream::pair().unwrap();
+    let (mut unix_stream, mut peer) = UnixStream::pair().unwrap();
     for _ in 0..3 {
-        set_nodelay(&here);
-        enable_dead_peer_detection(&here, Duration::from_secs(2));
+        set_nodelay(&unix_stream);
+        enable_dead_peer_detection(&unix_stream, Duration::from_secs(2));
     }
     assert_eq!(failures(SocketOption::NoDelay), 3);
     assert_eq!(failures(SocketOption::UserTimeout), 3);
-    let lines = LINES.0.lock().unwrap().clone();
+    let lines = LOGGER.lines.lock().unwrap().clone();
     let nodelay_lines: Vec<_> = lines
         .iter()
         .filter(|line| line.starts_with("socket_option_failed option=nodelay error=\""))
         .collect();
     assert_eq!(nodelay_lines.len(), 1, "{lines:?}");
 
-    here.write_all(b"still usable").unwrap();
+    unix_stream.write_all(b"still usable").unwrap();
     let mut received = [0; 12];
-    there.read_exact(&mut received).unwrap();
+    peer.read_exact(&mut received).unwrap();
     assert_eq!(&received, b"still usable");
 }
 
-/// Names serve as metric labels and must be unique.
+/// The names of the options serve as metric labels and must be unique.
 #[test]
-fn names_differ() {
+fn option_names_are_unique() {
     let names: std::collections::BTreeSet<_> = SocketOption::ALL
         .map(SocketOption::name)
         .into_iter()
