--- a/crates/discovery/src/failures.rs
+++ b/crates/discovery/src/failures.rs
@@ -44,6 +44,7 @@
 struct Streak {
     failures: u32,
     began: Instant,
+    /// Earliest time of the next reminder.
     next_reminder: Instant,
     reminder_interval: Duration,
 }
@@ -81,6 +82,7 @@
         }
     }
 
+    /// Returns the streak extended by a failed call, and how the call is logged.
     fn extended(mut self, now: Instant) -> (Self, FailureNotice) {
         self.failures = self.failures.saturating_add(1);
         if now < self.next_reminder {
--- a/crates/discovery/src/timing.rs
+++ b/crates/discovery/src/timing.rs
@@ -6,14 +6,14 @@
 /// Wait of a long poll to an agent on the local machine, where polls are cheap. The platform considers a change
 /// delivered 6 s after a poll became unresponsive, so even a second consecutive unresponsive call must time out well
 /// before that.
-const PUSHED_WAIT: Duration = Duration::from_secs(1);
-/// Minimum wait of a long poll to a central service; long waits save the service calls. Each poll draws its wait
-/// between the minimum and [`MAX_POLLED_WAIT`]. The service processes calls one after another, and with equal waits the
-/// calls of load balancers that started together, or whose polls became unresponsive together, would coincide again and
-/// again.
-const MIN_POLLED_WAIT: Duration = Duration::from_secs(10);
-/// Maximum wait of a long poll to a central service; see [`MIN_POLLED_WAIT`].
-const MAX_POLLED_WAIT: Duration = Duration::from_secs(20);
+const AGENT_POLL_WAIT: Duration = Duration::from_secs(1);
+/// Minimum wait of a long poll to a central service; with long waits, the service gets fewer calls. Each poll draws its
+/// wait between the minimum and [`MAX_SERVICE_POLL_WAIT`]. The service processes calls one after another, and with
+/// equal waits the calls of load balancers that started together, or whose polls became unresponsive together, would
+/// coincide again and again.
+const MIN_SERVICE_POLL_WAIT: Duration = Duration::from_secs(10);
+/// Maximum wait of a long poll to a central service; see [`MIN_SERVICE_POLL_WAIT`].
+const MAX_SERVICE_POLL_WAIT: Duration = Duration::from_secs(20);
 /// Time after the end of its wait at which a long poll times out. The platform considers a change delivered 2 s after
 /// the end of the wait; by then, the next call must have completed, queued behind calls of other load balancers.
 const POLL_GRACE: Duration = Duration::from_millis(750);
@@ -63,10 +63,10 @@
 /// Returns the wait of the next long poll. Draws a random number only if a central service is polled (`on_demand`).
 pub fn poll_wait(on_demand: bool, random: &mut Rng) -> Duration {
     if !on_demand {
-        return PUSHED_WAIT;
+        return AGENT_POLL_WAIT;
     }
-    let range = MAX_POLLED_WAIT - MIN_POLLED_WAIT;
-    MIN_POLLED_WAIT + range.mul_f64(random.f64())
+    let range = MAX_SERVICE_POLL_WAIT - MIN_SERVICE_POLL_WAIT;
+    MIN_SERVICE_POLL_WAIT + range.mul_f64(random.f64())
 }
 
 /// Returns the pause after this number of consecutive failed calls.
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -64,7 +64,7 @@
             revision: known_revision.unwrap_or(0),
             needs_complete_list: known_revision.is_none(),
             streak: FailureStreak::default(),
-            reopened: false,
+            has_repeated_poll: false,
             random: &mut random,
             on_event: &mut on_event,
             subscriptions: &mut subscriptions,
@@ -108,14 +108,15 @@
     /// Consecutive failed calls.
     streak: FailureStreak,
     /// Whether an unresponsive poll has been repeated without a pause and no call has succeeded since.
-    reopened: bool,
+    has_repeated_poll: bool,
     random: &'a mut Rng,
     on_event: &'a mut F,
     subscriptions: &'a mut UnboundedReceiver<()>,
 }
 
 impl<S: ListSource, F: FnMut(WatchEvent) -> bool> Watcher<'_, S, F> {
-    /// Watches until the receiver of events or the sender of subscriptions is gone.
+    /// Watches until `on_event` returns `false` for a list or a failed subscription, or until the channel of
+    /// subscriptions closes.
     async fn run(mut self) {
         if self.on_demand && !self.needs_complete_list && self.subscriptions.recv().await.is_none()
         {
@@ -137,6 +138,7 @@
         }
     }
 
+    /// Reports a received list, unless its revision shows that a different service responds.
     async fn on_list(&mut self, list: EndpointList) -> ControlFlow<()> {
         if list.revision < self.revision && !list.is_complete {
             // A lower revision means that a different service responds; its state is known only from its complete list.
@@ -150,7 +152,7 @@
         let is_unchanged = list.revision == self.revision;
         self.revision = list.revision;
         self.needs_complete_list = false;
-        self.reopened = false;
+        self.has_repeated_poll = false;
         if !(self.on_event)(WatchEvent::List(list)) {
             return ControlFlow::Break(());
         }
@@ -160,6 +162,7 @@
         ControlFlow::Continue(())
     }
 
+    /// Reports a failed call, and waits until the next call may be made.
     async fn on_failure(&mut self, error: CallError) -> ControlFlow<()> {
         self.source.close();
         let timed_out = matches!(error, CallError::TimedOut);
@@ -171,7 +174,10 @@
             return ControlFlow::Continue(());
         }
         // An unresponsive poll is repeated at once: the platform may already consider the missed changes delivered.
-        if timed_out && !self.needs_complete_list && !std::mem::replace(&mut self.reopened, true) {
+        if timed_out
+            && !self.needs_complete_list
+            && !std::mem::replace(&mut self.has_repeated_poll, true)
+        {
             return ControlFlow::Continue(());
         }
         self.await_subscription().await
--- a/crates/discovery/src/watch/tests.rs
+++ b/crates/discovery/src/watch/tests.rs
@@ -6,7 +6,8 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{Instant, timeout};
 
-/// Responds to no call before `responds_from` and to every call from then on; never responds if it is `None`.
+/// A source that responds to no call before `responds_from` and to every call from then on; never responds if
+/// `responds_from` is `None`.
 struct UnresponsiveUntil {
     responds_from: Option<Instant>,
     revision: u64,
@@ -30,7 +31,7 @@
     fn close(&mut self) {}
 }
 
-/// Refuses each call immediately.
+/// A source that refuses each call immediately.
 struct Refusing;
 
 impl ListSource for Refusing {
@@ -41,16 +42,29 @@
     fn close(&mut self) {}
 }
 
-/// The reported events, each with the time since the start of the watch.
-type Reports = Vec<(Duration, WatchEvent)>;
+/// A reported event.
+#[derive(Debug)]
+struct Report {
+    /// Time since the start of the watch.
+    time: Duration,
+    event: WatchEvent,
+}
+
+/// A failure that is logged.
+struct LoggedFailure {
+    /// Time since the start of the watch.
+    time: Duration,
+    notice: FailureNotice,
+}
 
 /// Watches an agent for `duration`, beginning with a call for the complete list.
-async fn watch_agent(source: impl ListSource, duration: Duration) -> Reports {
+async fn watch_agent(source: impl ListSource, duration: Duration) -> Vec<Report> {
     let (_subscribe, mut subscriptions) = unbounded_channel();
     let began = Instant::now();
     let mut reports = Vec::new();
     let mut on_event = |event| {
-        reports.push((began.elapsed(), event));
+        let time = began.elapsed();
+        reports.push(Report { time, event });
         true
     };
     let watcher = Watcher {
@@ -59,7 +73,7 @@
         revision: 0,
         needs_complete_list: true,
         streak: FailureStreak::default(),
-        reopened: false,
+        has_repeated_poll: false,
         random: &mut Rng::with_seed(7),
         on_event: &mut on_event,
         subscriptions: &mut subscriptions,
@@ -68,14 +82,16 @@
     reports
 }
 
-/// Time and kind of each failure that is logged.
-fn notices(reports: &Reports) -> Vec<(Duration, FailureNotice)> {
-    let failed = reports.iter().filter_map(|(at, event)| match event {
-        WatchEvent::CallFailed(failed) => Some((*at, failed.notice)),
+fn logged_failures(reports: &[Report]) -> Vec<LoggedFailure> {
+    let failures = reports.iter().filter_map(|report| match &report.event {
+        WatchEvent::CallFailed(failed) => Some(LoggedFailure {
+            time: report.time,
+            notice: failed.notice,
+        }),
         _ => None,
     });
-    failed
-        .filter(|(_, notice)| *notice != FailureNotice::Quiet)
+    failures
+        .filter(|failure| failure.notice != FailureNotice::Quiet)
         .collect()
 }
 
@@ -86,16 +102,16 @@
         revision: 0,
     };
     let reports = watch_agent(source, Duration::from_secs(600)).await;
-    let notices = notices(&reports);
-    assert_eq!(notices[0].1, FailureNotice::First);
+    let logged = logged_failures(&reports);
+    assert_eq!(logged[0].notice, FailureNotice::First);
     assert!(
-        notices[1..]
+        logged[1..]
             .iter()
-            .all(|(_, notice)| *notice == FailureNotice::Reminder)
+            .all(|failure| failure.notice == FailureNotice::Reminder)
     );
-    let gaps: Vec<Duration> = notices
+    let gaps: Vec<Duration> = logged
         .windows(2)
-        .map(|pair| pair[1].0 - pair[0].0)
+        .map(|pair| pair[1].time - pair[0].time)
         .collect();
     // A call takes up to 2 s to fail and is followed by a pause of 0.25 s, so a reminder may be late by their sum.
     let tolerance = Duration::from_millis(2_250);
@@ -110,7 +126,7 @@
     );
     let failures: Vec<u32> = reports
         .iter()
-        .filter_map(|(_, event)| match event {
+        .filter_map(|report| match &report.event {
             WatchEvent::CallFailed(failed) => Some(failed.failures),
             _ => None,
         })
@@ -123,7 +139,10 @@
 async fn refused_calls_are_neither_made_nor_reported_in_a_loop() {
     let reports = watch_agent(Refusing, Duration::from_secs(60)).await;
     assert!((200..=250).contains(&reports.len()), "{}", reports.len());
-    assert!((6..=8).contains(&notices(&reports).len()), "{reports:?}");
+    assert!(
+        (6..=8).contains(&logged_failures(&reports).len()),
+        "{reports:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -134,21 +153,24 @@
         revision: 0,
     };
     let reports = watch_agent(source, Duration::from_secs(40)).await;
-    let failed = reports
+    let failed_calls = reports
         .iter()
-        .take_while(|(_, event)| matches!(event, WatchEvent::CallFailed(_)))
+        .take_while(|report| matches!(report.event, WatchEvent::CallFailed(_)))
         .count();
-    let (at, recovered) = &reports[failed];
+    let Report {
+        time,
+        event: recovered,
+    } = &reports[failed_calls];
     assert!(
-        matches!(recovered, WatchEvent::Recovered { failures } if *failures as usize == failed),
-        "{recovered:?} after {failed}"
+        matches!(recovered, WatchEvent::Recovered { failures } if *failures as usize == failed_calls),
+        "{recovered:?} after {failed_calls}"
     );
     // Allows for a call that begins just before the recovery, the pause after it, and the successful call.
-    assert!(*at < outage + Duration::from_millis(2_300), "{at:?}");
-    assert!(matches!(&reports[failed + 1].1, WatchEvent::List(list) if list.is_complete));
+    assert!(*time < outage + Duration::from_millis(2_300), "{time:?}");
+    assert!(matches!(&reports[failed_calls + 1].event, WatchEvent::List(list) if list.is_complete));
     assert!(
-        reports[failed + 2..]
+        reports[failed_calls + 2..]
             .iter()
-            .all(|(_, event)| matches!(event, WatchEvent::List(_)))
+            .all(|report| matches!(report.event, WatchEvent::List(_)))
     );
 }
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -72,8 +72,12 @@
 fn optional_keys_of_a_list_have_defaults() {
     let list: EndpointList = serde_json::from_str(r#"{"rev":9}"#).unwrap();
     assert!(list.revision == 9 && !list.is_complete && list.endpoints.is_empty());
-    let none = EndpointList::default();
-    assert!(none.revision == 0 && !none.is_complete && none.endpoints.is_empty());
+    let default_list = EndpointList::default();
+    assert!(
+        default_list.revision == 0
+            && !default_list.is_complete
+            && default_list.endpoints.is_empty()
+    );
 }
 
 #[test]
