--- a/crates/hot-restart/src/socket.rs
+++ b/crates/hot-restart/src/socket.rs
@@ -23,7 +23,7 @@
 /// The error of a failed fetch of the predecessor's state.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
-    /// The transfer did not end within [`TRANSFER_TIMEOUT`].
+    /// The transfer was not complete within [`TRANSFER_TIMEOUT`].
     #[error("{}: no answer in time", path.display())]
     TimedOut {
         /// The socket.
@@ -105,13 +105,13 @@
 async fn receive_document(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let mut stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
-        Err(error) if is_absent(&error) => return Ok(None),
+        Err(error) if is_no_listener(&error) => return Ok(None),
         Err(error) => return Err(error),
     };
     if !is_same_user(&stream)? {
         return Err(io::Error::new(
             ErrorKind::PermissionDenied,
-            "another user's process listens there",
+            "a process of another user listens on the socket",
         ));
     }
     let mut document = Vec::new();
@@ -121,7 +121,7 @@
 }
 
 /// Whether a connect error means that no process listens at the path.
-fn is_absent(error: &io::Error) -> bool {
+fn is_no_listener(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::NotFound | ErrorKind::ConnectionRefused
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,5 +1,6 @@
-//! The transferred document. Classes and upstreams are identified by name, and times are given as durations, since
-//! positions, ids and clocks differ between the two processes.
+//! The transferred document. Classes and upstreams are identified by name, since positions and ids differ between the
+//! two processes. Times are given as durations, since the clocks differ, except for the start times of upstream
+//! processes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -55,16 +56,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredState {
     version: u32,
-    /// Latency by name of the class.
+    /// Latency of each class, by name.
     classes: BTreeMap<String, LatencyEstimate>,
     /// Latency over all classes.
     overall: LatencyEstimate,
-    /// Responses per second.
-    rate: f64,
+    /// Rate of successful responses.
+    #[serde(rename = "rate")]
+    responses_per_second: f64,
     /// Exponentially decayed number of responses.
-    answers: f64,
-    /// Number of requests in flight over the same period, each weighted by the inverse of its latency target, with the
-    /// same decay.
+    #[serde(rename = "answers")]
+    responses: f64,
+    /// Time integral of the number of requests in flight, each weighted by the inverse of its latency target; decays
+    /// like the number of responses.
     #[serde(rename = "held")]
     in_flight: f64,
     /// Ratio of failed attempts, from 0 to 1.
@@ -77,6 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct LatencyEstimate {
     mean: f64,
+    /// Mean deviation from the mean.
     deviation: f64,
     /// Mean latency without load.
     #[serde(rename = "calm")]
@@ -87,8 +91,8 @@
 /// Statistics of one upstream process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct UpstreamRecord {
-    /// Start time of the process, in Unix nanoseconds. Identifies the process, since the record is invalid for any
-    /// other.
+    /// Start time of the process, in Unix nanoseconds. Identifies the process, since the record does not apply to any
+    /// other process.
     #[serde(rename = "started", skip_serializing_if = "Option::is_none")]
     started_at: Option<Time>,
     /// Latency of calls to the upstream, relative to the mean of their class.
@@ -166,8 +170,8 @@
             version: VERSION,
             classes: classes.collect(),
             overall: learned.overall.into(),
-            rate: learned.responses_per_second,
-            answers: learned.responses,
+            responses_per_second: learned.responses_per_second,
+            responses: learned.responses,
             in_flight: learned.pending,
             failure_ratio: learned.failure_rate,
             upstreams: upstreams.collect(),
@@ -191,8 +195,8 @@
         LearnedState {
             classes: classes.collect(),
             overall: self.overall.into(),
-            responses_per_second: self.rate,
-            responses: self.answers,
+            responses_per_second: self.responses_per_second,
+            responses: self.responses,
             pending: self.in_flight,
             failure_rate: self.failure_ratio,
             servers: servers.collect(),
@@ -239,8 +243,8 @@
                 record.latency_ratio,
             )?;
         }
-        check_number(|| "rate".to_owned(), self.rate)?;
-        check_number(|| "answers".to_owned(), self.answers)?;
+        check_number(|| "rate".to_owned(), self.responses_per_second)?;
+        check_number(|| "answers".to_owned(), self.responses)?;
         check_number(|| "held".to_owned(), self.in_flight)?;
         match self.failure_ratio {
             0.0..=1.0 => Ok(()),
--- a/crates/hot-restart/src/state/tests.rs
+++ b/crates/hot-restart/src/state/tests.rs
@@ -29,19 +29,21 @@
 }
 
 fn state() -> TransferredState {
-    let class = |at: usize| ["look", "pay"].get(at).copied();
-    TransferredState::new(&learned(), class, |server| Some(format!("s-{}", server.0)))
+    let class_name = |position: usize| ["look", "pay"].get(position).copied();
+    TransferredState::new(&learned(), class_name, |server| {
+        Some(format!("s-{}", server.0))
+    })
 }
 
 #[test]
 fn learned_state_is_restored_under_the_ids_of_the_successor() {
     let decoded = TransferredState::decode(&state().encode()).unwrap();
-    let upstream = |name: &str| (name == "s-2").then_some(ServerId(5));
-    let back = decoded.learned(|name| (name == "pay").then_some(7), upstream);
+    let upstream_id = |name: &str| (name == "s-2").then_some(ServerId(5));
+    let restored = decoded.learned(|name| (name == "pay").then_some(7), upstream_id);
     let expected = learned();
-    assert_eq!(back.classes, [(7, expected.classes[1].1)]);
+    assert_eq!(restored.classes, [(7, expected.classes[1].1)]);
     assert_eq!(
-        back.servers,
+        restored.servers,
         [LearnedServer {
             server: ServerId(5),
             ..expected.servers[1]
@@ -49,10 +51,10 @@
     );
     assert_eq!(
         (
-            back.responses_per_second,
-            back.responses,
-            back.pending,
-            back.failure_rate
+            restored.responses_per_second,
+            restored.responses,
+            restored.pending,
+            restored.failure_rate
         ),
         (12.5, 30.0, 11.0, 0.25)
     );
@@ -98,12 +100,12 @@
     /// panic.
     #[test]
     fn a_corrupted_document_is_decoded_or_rejected(
-        length in 0usize..2000, at in 0usize..2000, byte in any::<u8>(),
+        length in 0usize..2000, position in 0usize..2000, byte in any::<u8>(),
     ) {
         let mut document = state().encode();
         document.truncate(length.max(1));
-        let at = at % document.len();
-        document[at] = byte;
+        let position = position % document.len();
+        document[position] = byte;
         if let Ok(state) = TransferredState::decode(&document) {
             prop_assert_eq!(TransferredState::decode(&state.encode()).ok(), Some(state));
         }
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -10,28 +10,29 @@
     assert_eq!(text, expected, "{name}");
 }
 
-fn latency(mean: f64, dev: f64, calm: f64, calls: u32) -> LearnedLatency {
+fn latency(mean: f64, mean_deviation: f64, baseline: f64, calls: u32) -> LearnedLatency {
     LearnedLatency {
         mean,
-        mean_deviation: dev,
-        baseline: calm,
+        mean_deviation,
+        baseline,
         calls,
     }
 }
 
-/// Builds the state of an upstream. `breaker` holds the number of openings and the remaining open time in nanoseconds.
+/// Builds the state of an upstream, with the number of openings of its circuit breaker and the breaker's remaining open
+/// time in nanoseconds.
 fn server(
     id: u32,
     started: Option<u64>,
     slowness: f64,
-    breaker: (u32, Option<u64>),
+    (recent_opens, open_for): (u32, Option<u64>),
 ) -> LearnedServer {
     LearnedServer {
         server: ServerId(id),
         started,
         slowness,
-        recent_opens: breaker.0,
-        open_for: breaker.1,
+        recent_opens,
+        open_for,
     }
 }
 
@@ -60,7 +61,7 @@
 fn state(learned: &LearnedState) -> TransferredState {
     TransferredState::new(
         learned,
-        |at| CLASSES.get(at).copied(),
+        |position| CLASSES.get(position).copied(),
         |server| Some(format!("s-{}", server.0)),
     )
 }
