--- a/crates/inbound/src/body_memory.rs
+++ b/crates/inbound/src/body_memory.rs
@@ -2,16 +2,19 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// One body's share of the memory that all open requests share. Dropping the value releases the share.
+/// The memory reserved for one body, within a limit for the bodies of all open requests. Dropping the value releases
+/// the reservation.
 #[derive(Debug)]
 pub struct BodyMemory<'a> {
+    /// Number of bytes reserved for all bodies.
     total: &'a AtomicUsize,
     bytes: usize,
     limit: usize,
 }
 
 impl<'a> BodyMemory<'a> {
-    /// Creates a share of zero bytes. `total` counts the bytes reserved by all bodies, and `limit` is their maximum.
+    /// Creates a reservation of zero bytes. `total` counts the bytes reserved for all bodies, and `limit` is their
+    /// maximum.
     pub fn new(total: &'a AtomicUsize, limit: usize) -> Self {
         Self {
             total,
@@ -25,8 +28,8 @@
         self.bytes
     }
 
-    /// Reserves `bytes` more. Returns `false` if the total then exceeds the limit; the bytes stay reserved until drop
-    /// even so.
+    /// Reserves `bytes` more. Returns `false` if the total then exceeds the limit; even then, the bytes stay reserved
+    /// until the value is dropped.
     pub fn reserve(&mut self, bytes: usize) -> bool {
         let before = self.total.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
--- a/crates/inbound/src/connection_state.rs
+++ b/crates/inbound/src/connection_state.rs
@@ -23,7 +23,7 @@
 enum Phase {
     /// The head is incomplete, or no request has begun.
     Head,
-    /// This number of bytes of the request must still be passed to hyper.
+    /// The head is complete, and this number of bytes of the request must still be passed to hyper.
     Passing(u64),
     /// Only hyper can determine the end of the request. No further request is accepted on the connection.
     Unbounded,
@@ -31,7 +31,7 @@
     Complete,
 }
 
-/// The most recent response on a connection.
+/// The progress of the most recent response on a connection.
 struct Response {
     /// The client's deadline, after which the response has no value.
     deadline: Instant,
@@ -39,19 +39,26 @@
     is_complete: bool,
 }
 
+/// The time of one or more reads from the socket.
+struct ReadTime {
+    /// Total number of bytes received up to and including the reads.
+    received_bytes: u64,
+    time: Instant,
+}
+
 /// The state of a client's connection: the phase of the current request, buffered bytes and timestamps.
 pub struct ConnectionState {
     phase: Phase,
     /// Received bytes that have not been passed to hyper.
     pub(crate) buffered: BytesMut,
+    /// Whether the client has closed its sending side.
     pub(crate) has_ended: bool,
     /// Total number of received bytes.
-    received: u64,
-    /// For each read of bytes not yet passed to hyper: the total number of bytes received up to and including that
-    /// read, and the time of the read.
-    read_times: VecDeque<(u64, Instant)>,
+    received_bytes: u64,
+    /// Times of the reads, beginning with the read of the byte that was last passed to hyper.
+    read_times: VecDeque<ReadTime>,
     /// Total number of bytes passed to hyper.
-    passed: u64,
+    passed_bytes: u64,
     /// Time at which the last byte of the current request arrived.
     request_received_at: Instant,
     /// Start of the wait for a request, or for the rest of a request that has begun.
@@ -64,7 +71,7 @@
     /// them.
     has_both_lengths: bool,
     /// Total number of received bytes when the head of the current request was parsed.
-    received_at_head: u64,
+    received_bytes_at_head: u64,
     last_read: Instant,
     /// Waker of the task that waits for bytes to pass to hyper.
     pub(crate) reader: Option<Waker>,
@@ -83,15 +90,15 @@
             phase: Phase::Head,
             buffered: BytesMut::new(),
             has_ended: false,
-            received: 0,
+            received_bytes: 0,
             read_times: VecDeque::new(),
-            passed: 0,
+            passed_bytes: 0,
             request_received_at: now,
             waiting_since: now,
             had_request: false,
             is_answered: false,
             has_both_lengths: false,
-            received_at_head: 0,
+            received_bytes_at_head: 0,
             last_read: now,
             reader: None,
             left_unread: false,
@@ -101,8 +108,8 @@
         }
     }
 
-    /// Returns whether the connection has served a request, and the time since when it has been idle. `None` while a
-    /// request is open or has partly arrived.
+    /// Returns whether the connection has served a request, and the start of its idle time; `None` while a request is
+    /// open or has partly arrived.
     pub fn idle(&self) -> Option<(bool, Instant)> {
         self.is_idle()
             .then_some((self.had_request, self.waiting_since))
@@ -113,7 +120,7 @@
         self.phase == Phase::Head && self.buffered.is_empty()
     }
 
-    /// Whether buffered bytes belong to a later request than the current one.
+    /// Whether bytes of a later request than the current one are buffered.
     pub fn has_pipelined_bytes(&self) -> bool {
         !self.buffered.is_empty() && matches!(self.phase, Phase::Head | Phase::Complete)
     }
@@ -156,10 +163,12 @@
     /// Records that the current request has its response, so that the next request may be passed to hyper.
     pub fn request_answered(&mut self) {
         self.is_answered = true;
-        self.next_request();
+        self.advance_to_next_request();
     }
 
-    fn next_request(&mut self) {
+    /// Begins the wait for the next request, if the current one has been passed to hyper completely and has its
+    /// response.
+    fn advance_to_next_request(&mut self) {
         if self.phase == Phase::Complete && self.is_answered {
             self.phase = Phase::Head;
             self.had_request = true;
@@ -168,14 +177,16 @@
         }
     }
 
-    /// Whether the connection should be closed: the client has not sent a complete request within `timeout` and the
-    /// body stalls or arrives too slowly, or a response stalls past its deadline. A connection that has served a
-    /// request may be idle.
+    /// Whether the connection should be closed: the client has not sent the head of a request within `timeout`, the
+    /// body stalls or arrives too slowly after that time, or a response stalls past its deadline. A connection that has
+    /// served a request may be idle.
     pub fn is_overdue(&self, timeout: Duration) -> bool {
         let waited = self.waiting_since.elapsed();
         self.is_response_overdue() || self.is_request_overdue(waited, timeout)
     }
 
+    /// Whether the client has been awaited for longer than `timeout` without a complete head, or without sufficient
+    /// progress of the body.
     fn is_request_overdue(&self, waited: Duration, timeout: Duration) -> bool {
         if waited <= timeout {
             return false;
@@ -184,7 +195,7 @@
             Phase::Complete => false,
             Phase::Head => !(self.buffered.is_empty() && self.had_request),
             Phase::Passing(_) | Phase::Unbounded => {
-                let body_bytes = self.received - self.received_at_head;
+                let body_bytes = self.received_bytes - self.received_bytes_at_head;
                 let body_time = Duration::from_millis(body_bytes / MIN_BODY_RATE);
                 // Buffered bytes mean that hyper has yet to read; the client does not stall then.
                 waited > timeout + body_time
@@ -221,11 +232,16 @@
         } else if self.phase == Phase::Head && self.buffered.len() == bytes && self.had_request {
             self.waiting_since = now;
         }
-        self.received += bytes as u64;
+        self.received_bytes += bytes as u64;
         self.last_read = now;
         match self.read_times.back_mut() {
-            Some((end, at)) if now - *at < READ_RESOLUTION => *end = self.received,
-            _ => self.read_times.push_back((self.received, now)),
+            Some(read) if now - read.time < READ_RESOLUTION => {
+                read.received_bytes = self.received_bytes;
+            }
+            _ => self.read_times.push_back(ReadTime {
+                received_bytes: self.received_bytes,
+                time: now,
+            }),
         }
     }
 
@@ -250,7 +266,7 @@
         };
         self.has_both_lengths = has_both_lengths;
         self.is_answered = false;
-        self.received_at_head = self.received;
+        self.received_bytes_at_head = self.received_bytes;
         self.response = None;
         self.phase = match length {
             RequestLength::Known(bytes) => Phase::Passing(bytes),
@@ -259,13 +275,15 @@
     }
 
     /// Number of buffered bytes that may be passed to hyper.
-    pub(crate) fn passable(&mut self) -> usize {
+    pub(crate) fn passable_bytes(&mut self) -> usize {
         self.read_head();
         let buffered = self.buffered.len();
         match self.phase {
             Phase::Head | Phase::Complete => 0,
             Phase::Unbounded => buffered,
-            Phase::Passing(left) => buffered.min(usize::try_from(left).unwrap_or(usize::MAX)),
+            Phase::Passing(remaining) => {
+                buffered.min(usize::try_from(remaining).unwrap_or(usize::MAX))
+            }
         }
     }
 
@@ -274,19 +292,20 @@
         let bytes = limit.min(buffer.remaining());
         buffer.put_slice(&self.buffered[..bytes]);
         self.buffered.advance(bytes);
-        self.passed += bytes as u64;
-        while self.read_times.len() > 1 && self.read_times[0].0 < self.passed {
+        self.passed_bytes += bytes as u64;
+        while self.read_times.len() > 1 && self.read_times[0].received_bytes < self.passed_bytes {
             self.read_times.pop_front();
         }
-        if let Phase::Passing(left) = &mut self.phase {
-            *left -= bytes as u64;
-            if *left == 0 {
+        if let Phase::Passing(remaining) = &mut self.phase {
+            *remaining -= bytes as u64;
+            if *remaining == 0 {
                 self.phase = Phase::Complete;
                 self.request_received_at = self
                     .read_times
                     .front()
-                    .map_or_else(Instant::now, |(_, at)| *at);
-                self.next_request(); // the response may have been sent before the request's last byte arrived
+                    .map_or_else(Instant::now, |read| read.time);
+                // The response may have been sent before the request's last byte arrived.
+                self.advance_to_next_request();
             }
         }
     }
--- a/crates/inbound/src/lingering.rs
+++ b/crates/inbound/src/lingering.rs
@@ -50,7 +50,7 @@
         open.tasks.insert(number, task.abort_handle());
     }
 
-    /// Closes the oldest lingering connections immediately until at most `limit` are left.
+    /// Closes the oldest lingering connections immediately, so that at most `limit` remain.
     pub fn keep_at_most(&self, limit: usize) {
         let mut open = lock(&self.open);
         while open.tasks.len() > limit {
@@ -72,7 +72,7 @@
 /// Shuts down the sending side, and discards incoming bytes until the peer has closed its own sending side.
 async fn drain(stream: &SharedStream) {
     if stream.shutdown_write().is_err() {
-        return; // the peer has reset it
+        return; // the peer has reset the connection
     }
     let mut buffer = [0; BUFFER_BYTES];
     while stream.tcp().readable().await.is_ok() {
--- a/crates/inbound/src/request_gate.rs
+++ b/crates/inbound/src/request_gate.rs
@@ -17,8 +17,8 @@
 /// A client's socket that withholds the bytes of each request from hyper until the previous request has its response.
 ///
 /// The gate keeps reading from the socket, so that a client's disconnection is detected while its request is open. It
-/// also records when the last byte of a request arrived, from which the request's time limit can run, and tells clients
-/// that stall between requests or within a request from clients that wait for a response.
+/// also records when the last byte of a request arrived, from which the request's time limit can run, and distinguishes
+/// clients that stall between requests or within a request from clients that wait for a response.
 pub struct RequestGate {
     stream: SharedStream,
     state: Arc<Mutex<ConnectionState>>,
@@ -45,7 +45,7 @@
     ) -> Poll<io::Result<()>> {
         let capacity = MAX_BUFFERED_BYTES.saturating_sub(state.buffered.len());
         if capacity == 0 {
-            return self.poll_end(cx, state);
+            return self.poll_disconnect(cx, state);
         }
         if state.left_unread
             && let Some(read) = self.read_unreported(state, capacity)
@@ -69,12 +69,14 @@
         state: &mut ConnectionState,
         capacity: usize,
     ) -> Option<io::Result<()>> {
-        let start = state.buffered.len();
-        state.buffered.resize(start + capacity.min(READ_BYTES), 0);
-        let read = self.stream.read_now(&mut state.buffered[start..]);
+        let buffered = state.buffered.len();
         state
             .buffered
-            .truncate(start + read.as_ref().map_or(0, |bytes| *bytes));
+            .resize(buffered + capacity.min(READ_BYTES), 0);
+        let read = self.stream.read_now(&mut state.buffered[buffered..]);
+        state
+            .buffered
+            .truncate(buffered + read.as_ref().map_or(0, |bytes| *bytes));
         match read {
             Ok(bytes) => {
                 state.on_read(bytes);
@@ -89,7 +91,11 @@
     }
 
     /// Waits for the client to disconnect while the buffer is full and nothing more is read.
-    fn poll_end(&self, cx: &mut Context<'_>, state: &mut ConnectionState) -> Poll<io::Result<()>> {
+    fn poll_disconnect(
+        &self,
+        cx: &mut Context<'_>,
+        state: &mut ConnectionState,
+    ) -> Poll<io::Result<()>> {
         state.left_unread = true;
         loop {
             if self.stream.is_read_closed() {
@@ -109,9 +115,9 @@
     ) -> Poll<io::Result<()>> {
         let mut state = lock(&self.state);
         loop {
-            let passable = state.passable();
-            if passable > 0 {
-                state.pass(buffer, passable);
+            let passable_bytes = state.passable_bytes();
+            if passable_bytes > 0 {
+                state.pass(buffer, passable_bytes);
                 return Poll::Ready(Ok(()));
             }
             if state.has_ended {
--- a/crates/inbound/src/request_head.rs
+++ b/crates/inbound/src/request_head.rs
@@ -6,12 +6,12 @@
 /// Maximum number of headers of a request, equal to hyper's limit.
 const MAX_HEADERS: usize = 100;
 
-/// Where a request ends.
+/// The length of a request, from which its end is determined.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestLength {
     /// Total length of head and body, in bytes.
     Known(u64),
-    /// The body is chunked, or the `Content-Length` is invalid.
+    /// The head has a `Transfer-Encoding`, or its `Content-Length` is invalid.
     Unknown,
 }
 
@@ -45,16 +45,16 @@
             .find(|header| header.name.eq_ignore_ascii_case(name))
             .map(|header| header.value)
     };
-    let is_chunked = value("transfer-encoding").is_some();
+    let has_transfer_encoding = value("transfer-encoding").is_some();
     let content_length = value("content-length");
     let body_length = content_length.map_or(Some(0), parse_number);
-    let length = match body_length.filter(|_| !is_chunked) {
+    let length = match body_length.filter(|_| !has_transfer_encoding) {
         Some(body_length) => RequestLength::Known(body_length.saturating_add(head_length as u64)),
         None => RequestLength::Unknown,
     };
     ParsedHead::Complete {
         length,
-        has_both_lengths: is_chunked && content_length.is_some(),
+        has_both_lengths: has_transfer_encoding && content_length.is_some(),
     }
 }
 
