--- a/crates/runtime/src/attempt.rs
+++ b/crates/runtime/src/attempt.rs
@@ -61,17 +61,17 @@
 impl BeginPermission {
     /// Marks the attempt as begun. Returns `false` if the permission was revoked before.
     fn begin(&self) -> bool {
-        self.leave_pending_for(BEGUN)
+        self.transition_from_pending(BEGUN)
     }
 
     /// Marks the permission as revoked. Returns `false` if the attempt had begun before.
     fn revoke(&self) -> bool {
-        self.leave_pending_for(REVOKED)
+        self.transition_from_pending(REVOKED)
     }
 
-    /// Moves from `PENDING` to `next`, and returns whether the state is `next` afterwards. `BEGUN` and `REVOKED` are
-    /// final.
-    fn leave_pending_for(&self, next: u8) -> bool {
+    /// Changes the state from `PENDING` to `next`, and returns whether the state is `next` afterwards. `BEGUN` and
+    /// `REVOKED` are final.
+    fn transition_from_pending(&self, next: u8) -> bool {
         match self
             .0
             .compare_exchange(PENDING, next, Ordering::AcqRel, Ordering::Acquire)
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -32,8 +32,8 @@
 
     /// Converts an instant to Unix time in nanoseconds. An instant before the clock's creation yields the creation
     /// time.
-    pub fn time(&self, at: Instant) -> Time {
-        self.start_unix + at.saturating_duration_since(self.start).as_nanos() as Time
+    pub fn time(&self, instant: Instant) -> Time {
+        self.start_unix + instant.saturating_duration_since(self.start).as_nanos() as Time
     }
 
     /// Converts Unix time in nanoseconds to an instant. A time before the clock's creation yields the creation instant.
--- a/crates/runtime/src/discovery_status.rs
+++ b/crates/runtime/src/discovery_status.rs
@@ -19,6 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct DiscoveryCounts {
     clock: Clock,
+    /// Time of the latest response, or of the load balancer's start.
     responded_at: AtomicU64,
     failed_calls: AtomicU64,
 }
--- a/crates/runtime/src/load_balancer.rs
+++ b/crates/runtime/src/load_balancer.rs
@@ -71,6 +71,7 @@
 /// The arguments of the discovery watch, kept until the watch is started.
 struct UnstartedWatch {
     config: WatchConfig,
+    /// Receives the engine's requests to watch discovery.
     subscriptions: UnboundedReceiver<()>,
 }
 
@@ -105,7 +106,7 @@
             known_endpoints,
         } = config;
         let clock = Clock::default();
-        let (subscribe, subscriptions) = unbounded_channel();
+        let (subscription_sender, subscriptions) = unbounded_channel();
         let watch_config = WatchConfig {
             known_revision: Some(known_endpoints.revision),
             on_demand: settings.subscribes_to_discovery,
@@ -119,14 +120,14 @@
             clock,
             names,
             may_cancel,
-            subscribe,
+            subscription_sender,
             earlier_timer: Notify::new(),
             ready: watch::Sender::new(false),
             discovery: DiscoveryCounts::new(clock),
             log,
             runtime: Handle::try_current()?,
         });
-        shared.on_list(&EndpointList {
+        shared.update_endpoints(&EndpointList {
             is_complete: true,
             ..known_endpoints
         });
@@ -168,7 +169,7 @@
 
     /// Updates the upstreams from a complete or an incremental list.
     pub fn update_endpoints(&self, list: &EndpointList) {
-        self.shared.on_list(list);
+        self.shared.update_endpoints(list);
     }
 
     /// Returns a channel whose value becomes `true`, and stays so, once an upstream accepts requests.
@@ -235,17 +236,17 @@
     }
 
     /// Returns the attempts completed since the previous invocation and the attempts in flight. The list of upstreams
-    /// is included if its change count differs from `known_changes`.
-    pub fn observations(&self, known_changes: u64) -> Observations {
+    /// is included if its change count differs from `known_change_count`.
+    pub fn observations(&self, known_change_count: u64) -> Observations {
         let mut state = self.shared.lock();
         let ended = state.engine.take_attempt_records();
         let in_flight = state
             .engine
             .attempts_in_flight(self.shared.clock.now())
             .collect();
-        let (changes, upstreams) = state.engine.listed_upstreams();
-        let has_changed = changes != known_changes;
-        let listed = has_changed.then(|| (changes, upstreams.map(Upstream::from).collect()));
+        let (change_count, upstreams) = state.engine.listed_upstreams();
+        let has_changed = change_count != known_change_count;
+        let listed = has_changed.then(|| (change_count, upstreams.map(Upstream::from).collect()));
         Observations {
             ended,
             in_flight,
@@ -281,14 +282,14 @@
         request: T::Request,
     ) -> CallResult<T::Response> {
         let commands = Arc::new(CommandQueue::default());
-        let id = self.take_call(parameters, commands.clone());
+        let id = self.submit_call(parameters, commands.clone());
         PendingCall::new(self.shared.clone(), id, commands, request)
             .drive()
             .await
     }
 
-    /// Passes a call to the engine under an unused id.
-    fn take_call(&self, parameters: CallParameters, commands: Arc<CommandQueue>) -> RequestId {
+    /// Passes a call to the engine under an unused id, and returns the id.
+    fn submit_call(&self, parameters: CallParameters, commands: Arc<CommandQueue>) -> RequestId {
         let CallParameters {
             class,
             tenant,
--- a/crates/runtime/src/observations.rs
+++ b/crates/runtime/src/observations.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Attempts and list changes since the previous observation.
+/// A load balancer's attempts and listed upstreams at one time.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Attempts completed since the previous observation.
--- a/crates/runtime/src/pending_call.rs
+++ b/crates/runtime/src/pending_call.rs
@@ -16,7 +16,7 @@
 /// Builds the response from the [`ResponseTail`] that reports the response's end.
 type MakeResponse<R> = Box<dyn FnOnce(ResponseTail) -> R + Send>;
 
-/// An attempt in flight.
+/// An attempt in flight without a response.
 struct RunningAttempt<R> {
     number: u32,
     attempt: Attempt,
@@ -46,7 +46,7 @@
     running: Option<RunningAttempt<T::Response>>,
     /// Number of the attempt whose response has started. Until the response is handed over to the caller, the call
     /// itself reports the attempt's end.
-    started: Option<u32>,
+    responding_attempt: Option<u32>,
     has_result: bool,
 }
 
@@ -64,7 +64,7 @@
             commands,
             request,
             running: None,
-            started: None,
+            responding_attempt: None,
             has_result: false,
         }
     }
@@ -120,25 +120,23 @@
                 response,
                 load,
             }) => {
-                let is_served = response.is_some().then_some(());
-                let received = response.map(ReceivedResponse::Complete);
                 let end = AttemptEnd {
                     outcome,
-                    response: is_served,
+                    response: response.as_ref().map(|_| ()),
                     load,
                 };
                 self.shared.attempt_ended(self.id, attempt, end);
-                Some(received)
+                Some(response.map(ReceivedResponse::Complete))
             }
-            AttemptProgress::ResponseStarted(make) => {
-                self.started = Some(attempt);
+            AttemptProgress::ResponseStarted(make_response) => {
+                self.responding_attempt = Some(attempt);
                 let input = Input::ResponseStarted {
                     id: self.id,
                     attempt,
                     response: (),
                 };
                 self.shared.handle(&mut self.shared.lock(), input);
-                Some(Some(ReceivedResponse::Started(attempt, make)))
+                Some(Some(ReceivedResponse::Started(attempt, make_response)))
             }
         }
     }
@@ -154,10 +152,10 @@
             (CallResult::Served(()), Some(ReceivedResponse::Complete(response))) => {
                 CallResult::Served(response)
             }
-            (CallResult::Served(()), Some(ReceivedResponse::Started(attempt, make))) => {
-                self.started = None; // from here on, the tail reports the attempt's end
+            (CallResult::Served(()), Some(ReceivedResponse::Started(attempt, make_response))) => {
+                self.responding_attempt = None; // from here on, the tail reports the attempt's end
                 let sink: Arc<dyn EndSink> = self.shared.clone();
-                CallResult::Served(make(ResponseTail::new(sink, self.id, attempt)))
+                CallResult::Served(make_response(ResponseTail::new(sink, self.id, attempt)))
             }
             (CallResult::Rejected(retry_after), _) => CallResult::Rejected(retry_after),
             (CallResult::Served(()) | CallResult::Failed, _) => CallResult::Failed,
@@ -248,7 +246,7 @@
                     .attempt_ended(self.id, send.attempt, Outcome::Moot.into());
             }
         }
-        if let Some(attempt) = self.started.take() {
+        if let Some(attempt) = self.responding_attempt.take() {
             self.shared
                 .attempt_ended(self.id, attempt, Outcome::Cancelled.into());
         }
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -16,8 +16,8 @@
 };
 use woadstall_settings::Names;
 
-/// Resolution of the timers: timers that are due within one step fire together. Each call sets a timer, and few timers
-/// still matter when they fire. Waking up a thread for each timer costs more than all other decision work.
+/// Resolution of the timers: timers that are due within one step fire together. Each call sets a timer, and most calls
+/// have ended when their timer fires. Waking up a thread for each timer costs more than all other decision work.
 pub(crate) const TIMER_STEP: Duration = Duration::from_millis(4);
 
 /// Time limit of a probe.
@@ -68,12 +68,13 @@
     pub transport: T,
     pub clock: Clock,
     pub names: Names,
-    /// Whether the settings allow cancelling an attempt in flight.
+    /// Whether the settings at the load balancer's start allow cancelling an attempt in flight.
     pub may_cancel: bool,
-    /// Sends a request to open the discovery watch.
-    pub subscribe: UnboundedSender<()>,
+    /// Sends the engine's requests to watch discovery.
+    pub subscription_sender: UnboundedSender<()>,
     /// Notifies the timer task of a timer that is due before the planned wake-up.
     pub earlier_timer: Notify,
+    /// Whether an upstream has been available for requests.
     pub ready: watch::Sender<bool>,
     pub discovery: DiscoveryCounts,
     pub log: LogSink,
@@ -118,12 +119,13 @@
                 Command::Probe(peer) => self.probe(peer),
                 Command::CloseIdleConnections(server) => self.transport.close_idle(server),
                 Command::RetireConnections(server) => self.transport.retire(server),
-                Command::WatchDiscovery => drop(self.subscribe.send(())),
+                Command::WatchDiscovery => drop(self.subscription_sender.send(())),
                 Command::Log(text) => (self.log)(format_args!("{text}")),
             }
         }
     }
 
+    /// Queues an attempt for the call's task. If the engine no longer knows the call, the attempt ends unsent.
     fn send_attempt(&self, engine: &mut CallEngine, send: SendAttempt) {
         if let Some(queue) = engine.request(send.id) {
             return queue.push(CallCommand::SendAttempt(send));
@@ -153,15 +155,15 @@
         let shared = self.clone();
         let probe = self.transport.probe(peer, PROBE_TIMEOUT);
         self.runtime.spawn(async move {
-            let ended = timeout(PROBE_TIMEOUT, probe).await;
-            let (outcome, load) = ended.unwrap_or((Outcome::Timeout, None));
+            let result = timeout(PROBE_TIMEOUT, probe).await;
+            let (outcome, load) = result.unwrap_or((Outcome::Timeout, None));
             let input = Input::ProbeEnded(peer.server, outcome, load);
             shared.handle(&mut shared.lock(), input);
         });
     }
 
-    /// Passes a list of upstreams to the engine.
-    pub fn on_list(self: &Arc<Self>, list: &EndpointList) {
+    /// Passes a complete or an incremental list of upstreams to the engine.
+    pub fn update_endpoints(self: &Arc<Self>, list: &EndpointList) {
         let entries = list.entries(&self.names);
         let mut state = self.lock();
         let is_complete = list.is_complete;
@@ -185,7 +187,7 @@
         match event {
             WatchEvent::List(list) => {
                 self.discovery.count_response();
-                self.on_list(&list);
+                self.update_endpoints(&list);
             }
             WatchEvent::SubscriptionFailed => {
                 self.handle(&mut self.lock(), Input::DiscoveryFailed);
--- a/crates/runtime/src/timers.rs
+++ b/crates/runtime/src/timers.rs
@@ -22,9 +22,9 @@
             shared.transport.sweep();
             sweep_at = now + SWEEP_INTERVAL;
         }
-        let next = fire_timers(&shared, sweep_at);
+        let next_wake_up = fire_timers(&shared, sweep_at);
         tokio::select! {
-            () = sleep_until(next) => {}
+            () = sleep_until(next_wake_up) => {}
             () = shared.earlier_timer.notified() => {}
         }
     }
@@ -38,7 +38,10 @@
     shared.handle(&mut state, Input::Tick);
     let sweep = shared.clock.time(sweep_at);
     let next_step = shared.clock.now() + TIMER_STEP.as_nanos() as Time;
-    let due = state.engine.wake_at().map_or(sweep, |at| at.min(sweep));
+    let due = state
+        .engine
+        .wake_at()
+        .map_or(sweep, |timer| timer.min(sweep));
     // While calls arrive, a wake-up is planned at every step, so that the timer of the next call needs no earlier one.
     let had_calls = std::mem::take(&mut state.had_calls);
     state.planned_wake_up = if had_calls {
--- a/crates/runtime/src/transport.rs
+++ b/crates/runtime/src/transport.rs
@@ -9,7 +9,7 @@
 pub enum AttemptProgress<A> {
     /// The attempt has ended, with a response if a final one was received.
     Ended(AttemptEnd<A>),
-    /// The final response has started and is streamed to the caller. The reader reports the response's end through the
+    /// The final response has started and is streamed to the caller. The streamed body reports its end through the
     /// [`ResponseTail`]; dropping the tail signals that the caller has given up.
     ResponseStarted(Box<dyn FnOnce(ResponseTail) -> A + Send>),
 }
