--- a/src/bin/woadstall-simulation-adapter.rs
+++ b/src/bin/woadstall-simulation-adapter.rs
@@ -28,11 +28,11 @@
     while let Some(header) = read_header(&mut input)? {
         let header = BatchHeader::decode(&header)?;
         body.clear();
-        let got = input
+        let received = input
             .by_ref()
             .take(header.length as u64)
             .read_to_end(&mut body)?;
-        if got < header.length {
+        if received < header.length {
             return Err(format!("batch {}: truncated frame", header.sequence).into());
         }
         for record in wire::records(header, &body) {
@@ -55,7 +55,7 @@
         match input.read(&mut header[filled..]) {
             Ok(0) if filled == 0 => return Ok(None),
             Ok(0) => return Err("truncated header".into()),
-            Ok(got) => filled += got,
+            Ok(count) => filled += count,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error.into()),
         }
@@ -63,6 +63,7 @@
     Ok(Some(header))
 }
 
+/// The running instances by number, the stored server tables, and the reply to the current batch.
 #[derive(Default)]
 struct Host {
     instances: HashMap<u32, Balancer>,
@@ -74,7 +75,7 @@
 impl Host {
     fn apply(&mut self, now: Time, record: Record<'_>) {
         match record {
-            Record::PowerOn {
+            Record::StartInstance {
                 instance,
                 seed,
                 settings,
@@ -86,10 +87,10 @@
                 });
                 match balancer {
                     Ok(balancer) => drop(self.instances.insert(instance, balancer)),
-                    Err(error) => self.reply.fault(instance, &error),
+                    Err(error) => self.reply.push_fault(instance, &error),
                 }
             }
-            Record::Retire(instance) => drop(self.instances.remove(&instance)),
+            Record::RemoveInstance(instance) => drop(self.instances.remove(&instance)),
             Record::Table(number, entries) => self.tables[number] = entries,
             Record::Announce {
                 instance,
@@ -105,21 +106,22 @@
                 if let Some(balancer) = self.instances.get_mut(&instance) {
                     balancer.handle(now, event, &mut self.actions);
                 }
-                self.flush(instance);
+                self.push_actions(instance);
             }
             Record::Event(instance, event) => {
                 if let Some(balancer) = self.instances.get_mut(&instance) {
                     balancer.handle(now, event, &mut self.actions);
                 }
-                self.flush(instance);
+                self.push_actions(instance);
             }
             Record::Ignored => {}
         }
     }
 
-    fn flush(&mut self, instance: u32) {
+    /// Moves the actions of an instance to the reply.
+    fn push_actions(&mut self, instance: u32) {
         for action in self.actions.drain(..) {
-            self.reply.push(instance, &action);
+            self.reply.push_action(instance, &action);
         }
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
     /// Starts an instance of the decision module.
-    PowerOn {
+    StartInstance {
         /// Number of the instance.
         instance: u32,
         /// Seed of the instance's random numbers.
@@ -108,7 +108,7 @@
         settings: &'a [u8],
     },
     /// Removes the instance with this number.
-    Retire(u32),
+    RemoveInstance(u32),
     /// Stores a list of servers under a table number.
     Table(usize, Vec<ServerEntry>),
     /// Announces a stored list of servers to an instance, on behalf of discovery.
@@ -126,26 +126,26 @@
     Ignored,
 }
 
-fn array_at<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
-    let mut out = [0; N];
-    out.copy_from_slice(&bytes[at..at + N]);
-    out
+fn array_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    let mut array = [0; N];
+    array.copy_from_slice(&bytes[offset..offset + N]);
+    array
 }
 
-fn u16_at(bytes: &[u8], at: usize) -> u16 {
-    u16::from_le_bytes(array_at(bytes, at))
+fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_le_bytes(array_at(bytes, offset))
 }
 
-fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(array_at(bytes, at))
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(array_at(bytes, offset))
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    u64::from_le_bytes(array_at(bytes, at))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(array_at(bytes, offset))
 }
 
-fn f32_at(bytes: &[u8], at: usize) -> f32 {
-    f32::from_le_bytes(array_at(bytes, at))
+fn f32_at(bytes: &[u8], offset: usize) -> f32 {
+    f32::from_le_bytes(array_at(bytes, offset))
 }
 
 /// Decodes the records of a batch, in order. `body` contains the bytes after the header.
@@ -159,14 +159,16 @@
         .map(move |record| decode_record(record, tail))
 }
 
+/// Returns the part of the tail that a record refers to. The record has the offset of the part at `reference`, followed
+/// by the number of elements, which have `element_size` bytes each.
 fn tail_part<'a>(
     record: &[u8],
-    at: usize,
-    unit: usize,
+    reference: usize,
+    element_size: usize,
     tail: &'a [u8],
 ) -> Result<&'a [u8], WireError> {
-    let offset = u32_at(record, at) as usize;
-    let length = u32_at(record, at + 4) as usize * unit;
+    let offset = u32_at(record, reference) as usize;
+    let length = u32_at(record, reference + 4) as usize * element_size;
     tail.get(offset..offset + length)
         .ok_or(WireError::OutsideTail {
             offset,
@@ -182,7 +184,7 @@
         0 => {
             let settings = tail_part(record, 13, 1, tail)?;
             let seed = u64_at(record, 5);
-            return Ok(Record::PowerOn {
+            return Ok(Record::StartInstance {
                 instance,
                 seed,
                 settings,
@@ -199,7 +201,7 @@
             Event::ProbeEnded(server, outcome(record[9])?, load_report(record, 18)?)
         }
         8 => return Ok(Record::Ignored),
-        9 => return Ok(Record::Retire(instance)),
+        9 => return Ok(Record::RemoveInstance(instance)),
         10 => return table(record, tail),
         code => return Err(WireError::UnknownEvent(code)),
     };
@@ -273,8 +275,9 @@
     })
 }
 
-fn load_report(record: &[u8], at: usize) -> Result<Option<LoadReport>, WireError> {
-    let len = record[at] as usize;
+/// Decodes the load report at `offset`: the number of values, followed by the values. `None` if there are no values.
+fn load_report(record: &[u8], offset: usize) -> Result<Option<LoadReport>, WireError> {
+    let len = record[offset] as usize;
     if len > 4 {
         return Err(WireError::LoadReportLength(len));
     }
@@ -283,7 +286,7 @@
         ..LoadReport::default()
     };
     for (i, figure) in report.figures.iter_mut().enumerate().take(len) {
-        *figure = f32_at(record, at + 1 + 4 * i);
+        *figure = f32_at(record, offset + 1 + 4 * i);
     }
     Ok((len > 0).then_some(report))
 }
@@ -315,20 +318,22 @@
 
 impl Reply {
     /// Appends an action of an instance.
-    pub fn push(&mut self, instance: u32, action: &Action) {
+    pub fn push_action(&mut self, instance: u32, action: &Action) {
         match action {
-            Action::SetTimer { after, token } => self.record(0, instance, &[after, token]),
-            Action::Reject { id, retry_after } => self.record(1, instance, &[&id.0, retry_after]),
+            Action::SetTimer { after, token } => self.push_record(0, instance, &[after, token]),
+            Action::Reject { id, retry_after } => {
+                self.push_record(1, instance, &[&id.0, retry_after])
+            }
             Action::Send {
                 id, server, until, ..
-            } => self.record(3, instance, &[&id.0, &server.0, until]),
-            Action::Log(text) => self.text(4, instance, text),
-            Action::Fail(id) => self.record(6, instance, &[&id.0]),
-            Action::Probe(server) => self.record(10, instance, &[&server.0]),
-            Action::CloseIdleConnections(server) => self.record(2, instance, &[&server.0]),
-            Action::Subscribe => self.record(8, instance, &[&1u8]),
+            } => self.push_record(3, instance, &[&id.0, &server.0, until]),
+            Action::Log(text) => self.push_text(4, instance, text),
+            Action::Fail(id) => self.push_record(6, instance, &[&id.0]),
+            Action::Probe(server) => self.push_record(10, instance, &[&server.0]),
+            Action::CloseIdleConnections(server) => self.push_record(2, instance, &[&server.0]),
+            Action::Subscribe => self.push_record(8, instance, &[&1u8]),
             Action::Cancel { id, attempt } => {
-                self.record(
+                self.push_record(
                     11,
                     instance,
                     &[&id.0, &u8::try_from(*attempt).unwrap_or(u8::MAX)],
@@ -338,17 +343,17 @@
     }
 
     /// Appends a fault record: the instance cannot continue, for the reason in `text`.
-    pub fn fault(&mut self, instance: u32, text: &str) {
-        self.text(9, instance, text);
+    pub fn push_fault(&mut self, instance: u32, text: &str) {
+        self.push_text(9, instance, text);
     }
 
-    fn text(&mut self, code: u8, instance: u32, text: &str) {
+    fn push_text(&mut self, code: u8, instance: u32, text: &str) {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.record(code, instance, &[&offset, &(text.len() as u32)]);
+        self.push_record(code, instance, &[&offset, &(text.len() as u32)]);
     }
 
-    fn record(&mut self, code: u8, instance: u32, fields: &[&dyn Field]) {
+    fn push_record(&mut self, code: u8, instance: u32, fields: &[&dyn Field]) {
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_le_bytes());
@@ -358,28 +363,29 @@
         self.records.resize(start + ACTION_SIZE, 0);
     }
 
-    /// Appends the complete frame to `out` and clears the reply.
-    pub fn finish(&mut self, sequence: u32, out: &mut Vec<u8>) {
+    /// Appends the complete frame to `output` and clears the reply. `sequence` is the sequence number of the batch.
+    pub fn finish(&mut self, sequence: u32, output: &mut Vec<u8>) {
         let length = self.records.len() + self.tail.len();
         let count = self.records.len() / ACTION_SIZE;
-        out.reserve(REPLY_HEADER + length);
+        output.reserve(REPLY_HEADER + length);
         for value in [length as u32, count as u32, sequence] {
-            out.extend_from_slice(&value.to_le_bytes());
+            output.extend_from_slice(&value.to_le_bytes());
         }
-        out.append(&mut self.records);
-        out.append(&mut self.tail);
+        output.append(&mut self.records);
+        output.append(&mut self.tail);
     }
 }
 
+/// A field of an action record, written in little-endian order.
 trait Field {
-    fn write(&self, out: &mut Vec<u8>);
+    fn write(&self, record: &mut Vec<u8>);
 }
 
 macro_rules! fields {
     ($($t:ty),*) => {$(
         impl Field for $t {
-            fn write(&self, out: &mut Vec<u8>) {
-                out.extend_from_slice(&self.to_le_bytes());
+            fn write(&self, record: &mut Vec<u8>) {
+                record.extend_from_slice(&self.to_le_bytes());
             }
         }
     )*};
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -78,7 +78,7 @@
         (record(&[&[3], &u32s(&[5, 6]), &[4]]), Vec::new()),
     ];
     let expected = [
-        Record::PowerOn {
+        Record::StartInstance {
             instance: 5,
             seed: 9,
             settings: b"bc",
@@ -102,7 +102,7 @@
         Record::Event(5, Event::ClientDisconnected(RequestId(6))),
         Record::Event(5, Event::Timer(77)),
         Record::Ignored,
-        Record::Retire(5),
+        Record::RemoveInstance(5),
         Record::Event(5, Event::ResponseStarted(RequestId(6), 4)),
     ];
     for ((record, tail), expected) in cases.iter().zip(expected) {
@@ -113,23 +113,29 @@
 #[test]
 fn a_request_and_its_work() {
     let request = |flags: u8| {
-        let demand = [
+        let parameters = [
             &u32s(&[2])[..],
             &3_u16.to_le_bytes(),
             &11_u64.to_le_bytes(),
             &13_u64.to_le_bytes(),
         ];
-        record(&[&[2], &u32s(&[5, 6]), &[0; 8], &demand.concat(), &[flags]])
+        record(&[
+            &[2],
+            &u32s(&[5, 6]),
+            &[0; 8],
+            &parameters.concat(),
+            &[flags],
+        ])
     };
     let expected = |work| {
-        let demand = RequestParameters {
+        let parameters = RequestParameters {
             class: 3,
             tenant: 2,
             time_left: 11,
             work,
             max_attempts: u32::MAX,
         };
-        Record::Event(5, Event::Request(RequestId(6), demand))
+        Record::Event(5, Event::Request(RequestId(6), parameters))
     };
     assert_eq!(decoded(&request(1), &[]).unwrap(), expected(Some(13)));
     assert_eq!(decoded(&request(0), &[]).unwrap(), expected(None));
@@ -261,8 +267,10 @@
         Action::Log("an é".to_owned()),
     ];
     let mut reply = Reply::default();
-    actions.iter().for_each(|action| reply.push(9, action));
-    reply.fault(10, "a fault");
+    actions
+        .iter()
+        .for_each(|action| reply.push_action(9, action));
+    reply.push_fault(10, "a fault");
     let mut frame = Vec::new();
     reply.finish(0x0a0b_0c0d, &mut frame);
     let (header, rest) = frame.split_at(12);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -53,7 +53,7 @@
         "07 03000000 f211902c 00 c05c150000000000 00",
         "08 03000000 02000000 00000000 04000000",
     ];
-    let demand = RequestParameters {
+    let parameters = RequestParameters {
         class: 0,
         tenant: 0,
         time_left: 240_000_000,
@@ -71,12 +71,12 @@
     assert_eq!(
         decode(&batch(&records, &[])),
         [
-            Record::Event(3, Event::Request(id, demand)),
+            Record::Event(3, Event::Request(id, parameters)),
             Record::Event(3, Event::Timer(0x4d)),
             Record::Event(5, Event::ClientDisconnected(RequestId(0x0e6f_2b19))),
             Record::Event(3, Event::ResponseStarted(id, 0)),
             Record::Event(3, Event::AttemptEnded(id, end)),
-            Record::Retire(3),
+            Record::RemoveInstance(3),
             Record::Event(
                 3,
                 Event::ProbeEnded(ServerId(0x2c90_11f2), Outcome::Ok, None)
@@ -148,7 +148,7 @@
 fn documented_actions_encode() {
     let mut reply = Reply::default();
     let id = RequestId(0x5d3a_91c4);
-    reply.push(
+    reply.push_action(
         3,
         &Action::Send {
             id,
@@ -157,27 +157,27 @@
             begin_by: u64::MAX,
         },
     );
-    reply.push(
+    reply.push_action(
         3,
         &Action::SetTimer {
             after: 500_000_000,
             token: 0x4d,
         },
     );
-    reply.push(5, &Action::Log("two servers known".into()));
-    reply.push(
+    reply.push_action(5, &Action::Log("two servers known".into()));
+    reply.push_action(
         3,
         &Action::Reject {
             id: RequestId(0x0e6f_2b19),
             retry_after: 250_000_000,
         },
     );
-    reply.push(3, &Action::Fail(RequestId(0x0e6f_2b19)));
-    reply.push(3, &Action::Subscribe);
-    reply.push(3, &Action::Cancel { id, attempt: 0 });
-    reply.push(3, &Action::Probe(ServerId(0x2c90_11f2)));
-    reply.push(3, &Action::CloseIdleConnections(ServerId(0x2c90_11f2)));
-    reply.fault(3, "index out of range");
+    reply.push_action(3, &Action::Fail(RequestId(0x0e6f_2b19)));
+    reply.push_action(3, &Action::Subscribe);
+    reply.push_action(3, &Action::Cancel { id, attempt: 0 });
+    reply.push_action(3, &Action::Probe(ServerId(0x2c90_11f2)));
+    reply.push_action(3, &Action::CloseIdleConnections(ServerId(0x2c90_11f2)));
+    reply.push_fault(3, "index out of range");
     let mut frame = Vec::new();
     reply.finish(12, &mut frame);
     let records = [
@@ -217,7 +217,7 @@
     assert_eq!(
         settings.idle_timeout,
         u64::MAX,
-        "idle connections stay where nothing is said"
+        "without `ConnIdleNs`, idle connections have no time limit"
     );
     let text = SETTINGS.replace("\"TryLimit\"", "\"ConnIdleNs\": 5000000000, \"TryLimit\"");
     assert_eq!(
@@ -280,45 +280,52 @@
 
 #[test]
 fn adapter_resolves_reused_list_numbers_in_order() {
-    // Two instances use the same list number: each instance must keep the list that the number denoted when the instance
-    // received it.
+    // Two instances use the same list number: each instance must keep the list that the number denoted when the
+    // instance received it.
     let mut tail = SETTINGS.as_bytes().to_vec();
-    let at = tail.len() as u32;
+    let entries_offset = tail.len() as u32;
     for server in ["01000000", "02000000"] {
         tail.extend(hex(&format!(
             "{server} 01 0000 0000 01 0000803f 0000000000000000"
         )));
     }
-    let le = |value: u32| {
+    let le_hex = |value: u32| {
         value
             .to_le_bytes()
             .map(|byte| format!("{byte:02x}"))
             .concat()
     };
-    let power = |instance| format!("00 {} 0100000000000000 00000000 {}", le(instance), le(at));
-    let table = |offset| format!("0a 00000000 {} 01000000", le(at + offset));
-    let announce = |instance| format!("01 {} 01000000 00000000 02", le(instance));
-    let demand = |instance| {
+    let start = |instance| {
+        format!(
+            "00 {} 0100000000000000 00000000 {}",
+            le_hex(instance),
+            le_hex(entries_offset)
+        )
+    };
+    let table = |offset| format!("0a 00000000 {} 01000000", le_hex(entries_offset + offset));
+    let announce = |instance| format!("01 {} 01000000 00000000 02", le_hex(instance));
+    let request = |instance| {
         format!(
             "02 {} 09000000 0000000000000000 00000000 0000 001c4e0e00000000",
-            le(instance)
+            le_hex(instance)
         )
     };
     let records = [
-        power(1),
+        start(1),
         table(0),
         announce(1),
-        power(2),
+        start(2),
         table(22),
         announce(2),
-        demand(1),
-        demand(2),
+        request(1),
+        request(2),
     ];
     let output = run_adapter(&batch(&records.each_ref().map(String::as_str), &tail));
     let sends: Vec<_> = output.stdout[12..]
         .chunks(24)
         .filter(|record| record[0] == 3)
         .collect();
+    // The low bytes of the instance number and of the server id.
     let targets: Vec<_> = sends.iter().map(|record| (record[1], record[9])).collect();
     assert_eq!(targets, [(1, 1), (2, 2)]);
 }
@@ -340,14 +347,14 @@
     let output = run_adapter(&batch(&[&record], text.as_bytes()));
     assert!(
         output.status.success(),
-        "one instance's settings are no fault of the others"
+        "invalid settings of one instance do not end the adapter"
     );
-    assert_eq!(output.stdout[12], 9, "the wire's fault action");
+    assert_eq!(output.stdout[12], 9, "the action is a fault");
     String::from_utf8_lossy(&output.stdout[36..]).into_owned()
 }
 
 #[test]
-fn settings_that_make_no_sense_are_faults_that_name_the_field() {
+fn invalid_settings_are_reported_as_faults_that_name_the_field() {
     let cases = [
         (("{", "["), "settings: "),
         (
@@ -392,18 +399,21 @@
 #[test]
 fn unusual_valid_records_do_no_harm() {
     let mut tail = SETTINGS.as_bytes().to_vec();
-    let at = tail.len() as u32;
+    let entry_offset = tail.len() as u32;
     tail.extend(hex("01000000 01 0000 0000 01 0000c07f 0000000000000000")); // a size that is NaN
-    let le = |value: u32| {
+    let le_hex = |value: u32| {
         value
             .to_le_bytes()
             .map(|byte| format!("{byte:02x}"))
             .concat()
     };
-    let power = format!("00 03000000 0100000000000000 00000000 {}", le(at));
-    let table = format!("0a 00000000 {} 01000000", le(at));
+    let start = format!(
+        "00 03000000 0100000000000000 00000000 {}",
+        le_hex(entry_offset)
+    );
+    let table = format!("0a 00000000 {} 01000000", le_hex(entry_offset));
     let records = [
-        &power,
+        &start,
         "0a 01000000 00000000 00000000", // an empty list
         "01 03000000 01000000 01000000 01",
         &table,
@@ -422,9 +432,10 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
+    // The action code and the low byte of the request id.
     let codes: Vec<(u8, u8)> = output.stdout[12..]
         .chunks(24)
-        .map(|r| (r[0], r[5]))
+        .map(|record| (record[0], record[5]))
         .collect();
     assert!(
         codes.contains(&(1, 9)),
@@ -437,18 +448,15 @@
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one course of events, or one table of cases"
-)]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn adapter_ends_on_malformed_input_with_one_plain_line() {
     let good = batch(&["09 03000000"], &[]);
-    let mut impossible = good.clone();
-    impossible[12] = 9;
+    let mut too_many_records = good.clone();
+    too_many_records[12] = 9;
     let cases = [
         (good[..7].to_vec(), "truncated header"),
         (good[..40].to_vec(), "truncated frame"),
-        (impossible, "do not fit"),
+        (too_many_records, "do not fit"),
         (batch(&["63 03000000"], &[]), "unknown event code 99"),
         (
             batch(&["0a 00000000 05000000 02000000"], &[]),
