--- a/src/main.rs
+++ b/src/main.rs
@@ -157,11 +157,11 @@
     let address = admin_address(admin)?;
     let json = runtime()?.block_on(membership_report::fetch(address))?;
     let report = membership_report::read(&json)?;
-    let mut out = io::stdout().lock();
+    let mut stdout = io::stdout().lock();
     if as_json {
-        return Ok(out.write_all(&json)?);
+        return Ok(stdout.write_all(&json)?);
     }
-    Ok(membership_report::write(&report, &mut out)?)
+    Ok(membership_report::write(&report, &mut stdout)?)
 }
 
 fn serve() -> CommandResult {
--- a/src/net/admin/routes.rs
+++ b/src/net/admin/routes.rs
@@ -47,15 +47,19 @@
 }
 
 fn get(method: &Method, call: impl FnOnce() -> AdminResponse) -> AdminResponse {
-    only(Method::GET, method, call)
+    require_method(Method::GET, method, call)
 }
 
 fn post(method: &Method, call: impl FnOnce() -> AdminResponse) -> AdminResponse {
-    only(Method::POST, method, call)
+    require_method(Method::POST, method, call)
 }
 
 /// Runs `call` if the request has the allowed method; responds with status 405 otherwise.
-fn only(allowed: Method, method: &Method, call: impl FnOnce() -> AdminResponse) -> AdminResponse {
+fn require_method(
+    allowed: Method,
+    method: &Method,
+    call: impl FnOnce() -> AdminResponse,
+) -> AdminResponse {
     if *method == allowed {
         return call();
     }
--- a/src/net/daemon.rs
+++ b/src/net/daemon.rs
@@ -78,7 +78,7 @@
 pub struct Daemon {
     address: SocketAddr,
     metrics: Arc<Metrics>,
-    discovery: watch::Sender<SocketAddr>,
+    discovery_address: watch::Sender<SocketAddr>,
     load_balancer: LoadBalancer<Http1>,
     settings: watch::Sender<Arc<ServiceSettings>>,
     stop: watch::Sender<bool>,
@@ -105,8 +105,8 @@
         let evacuation = evacuation.map(|(section, membership)| {
             EvacuationTask::start(section, &config, membership, load_balancer.clone())
         });
-        metrics.show_membership(membership.clone())?;
-        metrics.show_evacuation(evacuation.clone())?;
+        metrics.register_membership(membership.clone())?;
+        metrics.register_evacuation(evacuation.clone())?;
         let metrics = Arc::new(metrics);
         hot_restart::restore_state(&config, &load_balancer).await;
         // Listening comes last: during a hot restart, a process receives connections as soon as it listens.
@@ -115,8 +115,8 @@
         log(format_args!("listening address={address}"));
 
         let (stop, stopping) = watch::channel(false);
-        let (discovery, discovery_address) = watch::channel(config.discovery);
-        load_balancer.watch_discovery(discovery_address);
+        let (discovery_address, watched_address) = watch::channel(config.discovery);
+        load_balancer.watch_discovery(watched_address);
         let (settings, service_settings) = watch::channel(initial_settings(&config));
         if let Some(directory) = &config.shared_directory {
             hot_restart::serve_state(directory, address, &load_balancer, &service_settings);
@@ -143,7 +143,7 @@
         Ok(Self {
             address,
             metrics,
-            discovery,
+            discovery_address,
             load_balancer,
             settings,
             stop,
@@ -163,12 +163,13 @@
     }
 
     /// Reads the configuration again and applies its discovery address and settings. Changes of other fields require a
-    /// restart. An invalid configuration changes nothing.
+    /// restart. An invalid configuration changes nothing. The key and seeds files of the membership are reloaded in
+    /// either case.
     fn reload(&self) {
         match self.apply_new_config() {
             Ok(discovery) => {
                 log(format_args!("configuration_applied discovery={discovery}"));
-                self.discovery.send_replace(discovery);
+                self.discovery_address.send_replace(discovery);
                 self.metrics.configs_applied.inc();
             }
             Err(error) => {
@@ -191,7 +192,7 @@
         self.load_balancer
             .transport()
             .reconfigure(active.names(), idle_timeout);
-        self.metrics.show_classes(active.active_class_names());
+        self.metrics.add_classes(active.active_class_names());
         let changed_at = Some(Instant::now());
         self.settings
             .send_replace(Arc::new(ServiceSettings { active, changed_at }));
@@ -205,13 +206,13 @@
     /// Fails if the server task has panicked.
     pub async fn stop(self) -> Result<(), DaemonError> {
         self.stop.send_replace(true);
-        let served = self.serving.await;
+        let result = self.serving.await;
         // The member leaves last: until now this process has called upstreams, and the other load balancers of these
         // upstreams must take it into account.
         if let Some(membership) = &self.membership {
             membership.leave().await;
         }
-        Ok(served?)
+        Ok(result?)
     }
 }
 
@@ -303,9 +304,9 @@
 /// Fails if the daemon cannot start, or if the server task has panicked.
 pub async fn run(config: Config) -> Result<(), DaemonError> {
     install_library_log();
-    let mut terminate = wait_for(SignalKind::terminate(), "SIGTERM")?;
-    let mut interrupt = wait_for(SignalKind::interrupt(), "SIGINT")?;
-    let mut hangup = wait_for(SignalKind::hangup(), "SIGHUP")?;
+    let mut terminate = signal_handler(SignalKind::terminate(), "SIGTERM")?;
+    let mut interrupt = signal_handler(SignalKind::interrupt(), "SIGINT")?;
+    let mut hangup = signal_handler(SignalKind::hangup(), "SIGHUP")?;
     let daemon = Daemon::start(config).await?;
     loop {
         tokio::select! {
@@ -317,6 +318,7 @@
     daemon.stop().await
 }
 
-fn wait_for(kind: SignalKind, name: &'static str) -> Result<Signal, DaemonError> {
+/// Installs a handler for a signal, which replaces the signal's default action.
+fn signal_handler(kind: SignalKind, name: &'static str) -> Result<Signal, DaemonError> {
     signal(kind).map_err(|source| DaemonError::Signal { name, source })
 }
--- a/src/net/domain_status.rs
+++ b/src/net/domain_status.rs
@@ -57,7 +57,7 @@
     }
     let members = status.contradicting_members.iter();
     let members: Vec<String> = members
-        .map(|(name, times)| format!("{name} ({times})"))
+        .map(|(name, count)| format!("{name} ({count})"))
         .collect();
     writeln!(
         out,
--- a/src/net/evacuation.rs
+++ b/src/net/evacuation.rs
@@ -74,19 +74,20 @@
     async fn run(self, load_balancer: LoadBalancer<Http1>, evaluation_interval: Duration) {
         let mut ticks = interval(evaluation_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut known_changes = u64::MAX;
+        // No list has this change count, so the first observations include the list.
+        let mut known_change_count = u64::MAX;
         loop {
             ticks.tick().await;
-            self.evaluate(&load_balancer, &mut known_changes);
+            self.evaluate(&load_balancer, &mut known_change_count);
         }
     }
 
     /// Passes the load balancer's observations to the coordinator, and the resulting verdicts to the load balancer.
-    fn evaluate(&self, load_balancer: &LoadBalancer<Http1>, known_changes: &mut u64) {
-        let observations = load_balancer.observations(*known_changes);
+    fn evaluate(&self, load_balancer: &LoadBalancer<Http1>, known_change_count: &mut u64) {
+        let observations = load_balancer.observations(*known_change_count);
         let mut coordinator = lock(&self.coordinator);
-        if let Some((changes, _)) = observations.listed {
-            *known_changes = changes;
+        if let Some((change_count, _)) = observations.listed {
+            *known_change_count = change_count;
         }
         self.record(&mut coordinator, &observations);
         let (now, output) = self
@@ -109,6 +110,7 @@
         });
     }
 
+    /// Passes the load balancer's observations to the coordinator.
     fn record(&self, coordinator: &mut Coordinator, observations: &Observations) {
         if let Some((_, upstreams)) = &observations.listed {
             coordinator.set_servers(upstreams.iter().map(listed_server));
--- a/src/net/membership_report.rs
+++ b/src/net/membership_report.rs
@@ -9,6 +9,7 @@
 use woadstall_membership_net::{MemberReport, Report, ZonePathReport};
 
 const PATH: &str = "/control/instances";
+/// The reason reported if a load balancer does not provide the call.
 const ABSENT: &str = "no `[instances]` in its operators' file";
 /// Minimum width of a name column.
 const MIN_NAME_WIDTH: usize = 4;
@@ -57,14 +58,14 @@
         out,
         "{name} in zone {zone}, found at {address}, for {uptime}"
     )?;
-    let size = match report.min_size == report.max_size {
+    let fleet_size = match report.min_size == report.max_size {
         true => report.min_size.to_string(),
         false => format!("{} to {}", report.min_size, report.max_size),
     };
     let (own, others) = (percent(report.own_zone), percent(report.other_zones));
     writeln!(
         out,
-        "fleet of {size}; heard lately: {own} of its zone, {others} of the other zones"
+        "fleet of {fleet_size}; heard lately: {own} of its zone, {others} of the other zones"
     )?;
     if report.is_isolated {
         let text = "it judges nobody now: it is cut off from most others, or has just woken";
@@ -110,17 +111,18 @@
         let longest = members.iter().map(|member| field(member).len()).max();
         longest.unwrap_or(0).max(MIN_NAME_WIDTH)
     };
-    let (name, zone) = (width(|member| &member.name), width(|member| &member.zone));
+    let name_width = width(|member| &member.name);
+    let zone_width = width(|member| &member.zone);
     writeln!(
         out,
-        "\n{:name$}  {:zone$}  state    for      found    to       from     at",
+        "\n{:name_width$}  {:zone_width$}  state    for      found    to       from     at",
         "name", "zone"
     )?;
     for member in members {
         let last_reached = member.last_reached_s.map_or("never".to_owned(), duration);
         write!(
             out,
-            "{:name$}  {:zone$}  {:7}  {:7}  {last_reached:7}  {:7}  {:7}  {}",
+            "{:name_width$}  {:zone_width$}  {:7}  {:7}  {last_reached:7}  {:7}  {:7}  {}",
             member.name,
             member.zone,
             member.state,
@@ -160,10 +162,10 @@
     for from in &zones {
         write!(out, "{from:width$}")?;
         for to in &zones {
-            let between = paths
+            let zone_path = paths
                 .iter()
                 .find(|paths| paths.from == *from && paths.to == *to);
-            let cell = between.map_or("-".to_owned(), |paths| {
+            let cell = zone_path.map_or("-".to_owned(), |paths| {
                 format!("{}/{}", paths.partitioned, paths.total)
             });
             write!(out, "  {cell:>width$}")?;
@@ -173,6 +175,7 @@
     Ok(())
 }
 
+/// Formats a ratio as a percentage without decimals.
 fn percent(ratio: f64) -> String {
     format!("{:.0}%", ratio * 100.0)
 }
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -18,7 +18,7 @@
 
 /// The error of a metric that could not be registered or encoded.
 #[derive(Debug, thiserror::Error)]
-#[error("figures: {0}")]
+#[error("metrics: {0}")]
 pub struct MetricsError(#[from] prometheus::Error);
 
 /// Metrics of the daemon; counters start at zero with the process.
@@ -37,7 +37,7 @@
     pub configs_rejected: IntCounter,
     list_age: IntGauge,
     discovery_failures: IntCounter,
-    option_failures: IntCounterVec,
+    socket_option_failures: IntCounterVec,
     membership: Option<MembershipMetrics>,
     evacuation: Option<EvacuationMetrics>,
 }
@@ -104,7 +104,7 @@
                 "Time since discovery last answered, or since the start if it never has.",
             )?,
             discovery_failures: counter("discovery_failures", "Calls to discovery that failed.")?,
-            option_failures: register(
+            socket_option_failures: register(
                 &registry,
                 IntCounterVec::new(
                     options(
@@ -118,7 +118,7 @@
             evacuation: None,
             registry,
         };
-        metrics.show_classes(classes);
+        metrics.add_classes(classes);
         Ok(metrics)
     }
 
@@ -127,7 +127,10 @@
     /// # Errors
     ///
     /// Fails if a metric cannot be registered.
-    pub fn show_membership(&mut self, membership: Option<Membership>) -> Result<(), MetricsError> {
+    pub fn register_membership(
+        &mut self,
+        membership: Option<Membership>,
+    ) -> Result<(), MetricsError> {
         let register = |membership| MembershipMetrics::register(&self.registry, membership);
         self.membership = membership.map(register).transpose()?;
         Ok(())
@@ -138,7 +141,7 @@
     /// # Errors
     ///
     /// Fails if a metric cannot be registered.
-    pub fn show_evacuation(
+    pub fn register_evacuation(
         &mut self,
         evacuation: Option<EvacuationTask>,
     ) -> Result<(), MetricsError> {
@@ -148,7 +151,7 @@
     }
 
     /// Adds label values for classes, so that classes without requests are exported with zero.
-    pub fn show_classes<'a>(&self, classes: impl Iterator<Item = &'a str>) {
+    pub fn add_classes<'a>(&self, classes: impl Iterator<Item = &'a str>) {
         for class in classes {
             for counter in [&self.served, &self.rejected, &self.failed] {
                 counter.with_label_values(&[class]);
@@ -183,7 +186,9 @@
         self.list_age
             .set(status.discovery.list_age.as_secs() as i64);
         for option in SocketOption::ALL {
-            let counter = self.option_failures.with_label_values(&[option.name()]);
+            let counter = self
+                .socket_option_failures
+                .with_label_values(&[option.name()]);
             raise_to(&counter, failures(option));
         }
         self.upstreams.set(status.upstreams as i64);
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -22,6 +22,7 @@
 const RESERVED_LINGERING: usize = 8;
 
 impl Server {
+    /// Accepts and serves connections until the future is dropped.
     pub(super) async fn accept(
         self: &Arc<Self>,
         listener: &TcpListener,
@@ -86,7 +87,7 @@
         let is_full = self.connection_count() >= self.config.limits.caller_connections;
         let is_surplus = is_full && !self.close_idle();
         let (connection, gate) = CallerConnection::new(is_surplus, stream);
-        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_connection_number.fetch_add(1, Ordering::Relaxed);
         lock(&self.connections).insert(number, connection.clone());
         self.limit_lingering();
         let slot = ConnectionSlot {
--- a/src/net/server/call.rs
+++ b/src/net/server/call.rs
@@ -69,7 +69,7 @@
         }
         let memory_limit = self.config.limits.memory_bytes / BODY_MEMORY_DIVISOR;
         let mut memory = BodyMemory::new(&self.body_bytes, memory_limit);
-        let _call_id = CallIdGuard::take(&self.open_call_ids, call.call_id)?;
+        let _call_id = CallIdGuard::reserve(&self.open_call_ids, call.call_id)?;
         let (mut head, body) = request.into_parts();
         let body = read_body(body, &mut memory).await?;
         let deadline = lock(connection).request_completed() + call.budget;
@@ -108,21 +108,21 @@
 /// Reserves the id of an open call until dropped. Prevents a second open call with the same id, since upstreams and
 /// callers could not tell the responses apart.
 struct CallIdGuard<'a> {
-    open: &'a Mutex<HashSet<String>>,
+    open_call_ids: &'a Mutex<HashSet<String>>,
     id: String,
 }
 
 impl<'a> CallIdGuard<'a> {
-    fn take(open: &'a Mutex<HashSet<String>>, id: String) -> Result<Self, Rejection> {
-        if !lock(open).insert(id.clone()) {
+    fn reserve(open_call_ids: &'a Mutex<HashSet<String>>, id: String) -> Result<Self, Rejection> {
+        if !lock(open_call_ids).insert(id.clone()) {
             return Err(CALL_ID_IN_USE);
         }
-        Ok(Self { open, id })
+        Ok(Self { open_call_ids, id })
     }
 }
 
 impl Drop for CallIdGuard<'_> {
     fn drop(&mut self) {
-        lock(self.open).remove(&self.id);
+        lock(self.open_call_ids).remove(&self.id);
     }
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -66,8 +66,8 @@
         lock(&self.state).is_idle() && self.stream.has_no_pending_input()
     }
 
-    /// Returns whether the connection has served a request, and the time since when it has been idle. `None` while a
-    /// request is open or has partly arrived.
+    /// Returns whether the connection has served a request, and the start of its idle time; `None` while a request is
+    /// open or has partly arrived.
     pub fn idle(&self) -> Option<(bool, Instant)> {
         lock(&self.state).idle()
     }
@@ -95,8 +95,8 @@
 }
 
 impl ConnectionEnd {
-    fn of(end: &hyper::Result<()>) -> Self {
-        match end {
+    fn from_result(result: &hyper::Result<()>) -> Self {
+        match result {
             Ok(()) => Self::Graceful,
             Err(_) => Self::Aborted,
         }
@@ -104,15 +104,15 @@
 }
 
 impl ConnectionSlot {
-    /// Serves the connection until its end, and closes it.
+    /// Serves the connection until it ends, and then closes it.
     pub async fn serve(self, gate: RequestGate, closing: watch::Receiver<bool>) {
-        let ended = self.drive(gate, closing).await;
+        let end = self.drive(gate, closing).await;
         let (server, caller) = (self.server.clone(), self.connection.clone());
         drop(self);
         if lock(&caller.state).has_ended() {
             return; // the caller has disconnected, so no lingering close is needed
         }
-        if matches!(ended, ConnectionEnd::Aborted) && caller.is_unframed.load(Ordering::Relaxed) {
+        if matches!(end, ConnectionEnd::Aborted) && caller.is_unframed.load(Ordering::Relaxed) {
             // After a graceful close, the truncated response would look complete.
             caller.stream.reset_on_close().ok();
             return;
@@ -120,6 +120,8 @@
         server.linger(caller.stream.clone());
     }
 
+    /// Runs the HTTP connection until it ends. After `closing` becomes true or the connection is notified to close, the
+    /// connection ends as soon as it is idle.
     async fn drive(&self, gate: RequestGate, mut closing: watch::Receiver<bool>) -> ConnectionEnd {
         let service =
             service_fn(|request| async { Ok::<_, Infallible>(self.respond(request).await) });
@@ -130,7 +132,7 @@
         let mut connection = std::pin::pin!(connection);
         tokio::select! {
             biased; // a request that has arrived is read before the connection is closed between requests
-            end = connection.as_mut() => return ConnectionEnd::of(&end),
+            result = connection.as_mut() => return ConnectionEnd::from_result(&result),
             () = self.connection.abort.notified() => return ConnectionEnd::Aborted,
             _ = closing.wait_for(|close| *close) => {}
             () = self.connection.close.notified() => {}
@@ -138,14 +140,14 @@
         // Closing while the caller is writing would reject its request, and pipelined requests have been accepted.
         while !self.connection.is_idle() {
             tokio::select! {
-                end = connection.as_mut() => return ConnectionEnd::of(&end),
+                result = connection.as_mut() => return ConnectionEnd::from_result(&result),
                 () = self.connection.abort.notified() => return ConnectionEnd::Aborted,
                 () = sleep(IDLE_CHECK_INTERVAL) => {}
             }
         }
         connection.as_mut().graceful_shutdown();
         tokio::select! {
-            end = connection => ConnectionEnd::of(&end),
+            result = connection => ConnectionEnd::from_result(&result),
             () = self.connection.abort.notified() => ConnectionEnd::Aborted,
         }
     }
--- a/src/net/server/drain.rs
+++ b/src/net/server/drain.rs
@@ -25,9 +25,9 @@
     pub(super) async fn drain_while_out_of_service(self: Arc<Self>) {
         let mut out_of_service = self.out_of_service.clone();
         while out_of_service.wait_for(|is_out| *is_out).await.is_ok() {
-            let since = Instant::now();
+            let out_of_service_since = Instant::now();
             while *out_of_service.borrow() {
-                let elapsed = since.elapsed();
+                let elapsed = out_of_service_since.elapsed();
                 self.is_draining
                     .store(elapsed >= DRAIN_AFTER, Ordering::Relaxed);
                 if elapsed >= CLOSE_AFTER {
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -38,12 +38,14 @@
     /// Whether an upstream has been available for requests.
     ready: watch::Receiver<bool>,
     metrics: Arc<Metrics>,
+    /// The settings that apply to new requests.
     settings: watch::Receiver<Arc<ServiceSettings>>,
     /// Whether the server is out of service.
     out_of_service: watch::Receiver<bool>,
     /// Whether responses carry `Connection: close`.
     is_draining: AtomicBool,
-    next_number: AtomicU64,
+    next_connection_number: AtomicU64,
+    /// Open connections by number.
     connections: Mutex<HashMap<u64, Arc<CallerConnection>>>,
     /// `X-Call-Id` values of all open requests.
     open_call_ids: Mutex<HashSet<String>>,
@@ -51,6 +53,7 @@
     body_bytes: AtomicUsize,
     /// Notified when a caller's connection has been removed.
     connection_closed: Notify,
+    /// Connections in lingering close.
     lingering: Arc<LingeringConnections>,
 }
 
@@ -71,7 +74,7 @@
             settings,
             out_of_service,
             is_draining: AtomicBool::new(false),
-            next_number: AtomicU64::new(0),
+            next_connection_number: AtomicU64::new(0),
             connections: Mutex::default(),
             open_call_ids: Mutex::default(),
             body_bytes: AtomicUsize::new(0),
@@ -80,8 +83,8 @@
         }
     }
 
-    /// Serves until `stopping` is true and for [`ACCEPT_GRACE`] longer. Returns when all connections are closed, or
-    /// when the time limit for the last responses has passed.
+    /// Accepts connections until [`ACCEPT_GRACE`] after `stopping` becomes true. Returns when all connections are
+    /// closed, or when the time limit for the last responses has passed.
     pub async fn run(self, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let aborting = tokio::spawn(server.clone().abort_overdue());
