--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -1,5 +1,5 @@
-//! The Tower adapter and the daemon side by side: both must make the same decisions, and together they
-//! must not overload an upstream that restarts cold.
+//! Tests of the tower adapter and the daemon with the same upstreams: both must make the same decisions, and together
+//! they must not overload an upstream that restarts cold.
 
 mod common;
 
@@ -18,10 +18,10 @@
 /// every fifth request, so that retries at other upstreams follow.
 fn recording_upstreams(count: usize) -> (Vec<Upstream>, Arc<Mutex<Vec<usize>>>) {
     let order = Arc::new(Mutex::new(Vec::new()));
-    let upstream = |at: usize| {
+    let upstream = |number: usize| {
         let (order, request_count) = (order.clone(), Mutex::new(0));
         Upstream::start(move |_| {
-            order.lock().unwrap().push(at);
+            order.lock().unwrap().push(number);
             let mut request_count = request_count.lock().unwrap();
             *request_count += 1;
             match *request_count % 5 {
@@ -35,16 +35,16 @@
     ((0..count).map(upstream).collect(), order)
 }
 
-/// A configuration with two zones and `CLASSES` classes. Measured latencies differ between runs; with
+/// Returns a configuration with two zones and `CLASSES` classes. Measured latencies differ between runs; with
 /// this many classes, no class gets enough calls for its measured latency to influence the decisions.
-fn many_classes(known: &[String]) -> serde_json::Value {
+fn config_with_many_classes(known: &[String]) -> serde_json::Value {
     let mut config = config(refused_address(), known);
     config["settings"]["Zones"] = serde_json::json!(["a", "b"]);
     let classes = config["settings"]["Classes"].as_array().unwrap().clone();
     let classes: Vec<_> = (0..CLASSES)
-        .map(|at| {
-            let mut class = classes[at % 3].clone();
-            class["Name"] = format!("class-{at}").into();
+        .map(|number| {
+            let mut class = classes[number % 3].clone();
+            class["Name"] = format!("class-{number}").into();
             class
         })
         .collect();
@@ -52,18 +52,20 @@
     config
 }
 
+/// Number of classes.
 const CLASSES: usize = 24;
-/// Calls per class.
+/// Number of calls per class.
 const CALLS_PER_CLASS: usize = 7;
 
-/// The calls of one client: the class name, and the effect of the call (0: safe, 1: idempotent by its
-/// key, 2: non-idempotent).
+/// The calls of one client: the name of the class, and the effect of a call (0: safe, 1: idempotent by its key,
+/// 2: non-idempotent).
 fn scripted_calls() -> impl Iterator<Item = (String, usize)> {
     (0..CLASSES * CALLS_PER_CLASS)
         .map(|call| (format!("class-{}", call % CLASSES), call % CLASSES % 3))
 }
 
-fn request_of(class: &str, effect: usize, id: usize) -> Request<Full<Bytes>> {
+/// Builds the request of a call through the adapter.
+fn adapter_request(class: &str, effect: usize, id: usize) -> Request<Full<Bytes>> {
     let method = if effect == 0 { "GET" } else { "POST" };
     let mut request = Request::builder().method(method).uri(format!("/{class}"));
     request = request
@@ -86,16 +88,17 @@
     let mut orders = Vec::new();
     for uses_adapter in [false, true] {
         let (upstreams, order) = recording_upstreams(6);
-        let entry = |(at, upstream): (usize, &Upstream)| {
-            let zone = if at % 2 == 0 {
+        let entry = |(number, upstream): (usize, &Upstream)| {
+            let zone = if number % 2 == 0 {
                 "\"az\":\"a\""
             } else {
                 "\"az\":\"b\""
             };
-            target(&format!("s-{at}"), upstream.address, "in_service").replace("\"az\":\"a\"", zone)
+            target(&format!("s-{number}"), upstream.address, "in_service")
+                .replace("\"az\":\"a\"", zone)
         };
         let known: Vec<_> = upstreams.iter().enumerate().map(entry).collect();
-        let config = many_classes(&known);
+        let config = config_with_many_classes(&known);
         if uses_adapter {
             let seed = u64::from_str_radix(config["seed"].as_str().unwrap(), 16).unwrap();
             let builder = Balance::builder()
@@ -109,7 +112,10 @@
                 .build()
                 .unwrap();
             for (id, (class, effect)) in scripted_calls().enumerate() {
-                balance.call(request_of(&class, effect, id)).await.unwrap();
+                balance
+                    .call(adapter_request(&class, effect, id))
+                    .await
+                    .unwrap();
             }
         } else {
             let program = Program::start(&config);
@@ -133,7 +139,7 @@
             "there were retries"
         );
         assert!(
-            (0..6).filter(|at| order.contains(at)).count() >= 3,
+            (0..6).filter(|number| order.contains(number)).count() >= 3,
             "at least the upstreams of the local zone are used"
         );
         orders.push(order);
@@ -151,20 +157,23 @@
     window: Duration::from_millis(1_500),
 };
 
-/// Rule 4 on real sockets: an upstream restarts cold under load from one daemon and forty adapters that
-/// do not coordinate with each other. Their combined load must not overload it.
+/// Guards rule 4 (no overload of a cold upstream) on real sockets: an upstream restarts cold under load from one daemon
+/// and forty adapters that do not coordinate with each other. Their combined load must not overload the upstream.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[expect(clippy::too_many_lines, reason = "one sequence of events")]
 async fn an_upstream_restarted_under_daemon_and_adapters_is_not_overloaded() {
     let mut upstreams = Vec::new();
-    for at in 0..4 {
-        upstreams.push(SimulatedUpstream::start(format!("n-{at}"), COLD_START).await);
+    for number in 0..4 {
+        upstreams.push(SimulatedUpstream::start(format!("n-{number}"), COLD_START).await);
     }
+    // Lists all upstreams, with the first one in the given state.
     let list = |state: &str| {
         upstreams
             .iter()
             .enumerate()
-            .map(|(at, upstream)| upstream.target("a", if at == 0 { state } else { "in_service" }))
+            .map(|(number, upstream)| {
+                upstream.target("a", if number == 0 { state } else { "in_service" })
+            })
             .collect()
     };
     let known: Vec<String> = list("in_service");
@@ -197,16 +206,16 @@
     let served = Arc::new(std::sync::atomic::AtomicU32::new(0));
     let stop = tokio::time::Instant::now() + Duration::from_secs(8);
     let mut callers = tokio::task::JoinSet::new();
-    for (at, balance) in adapters.into_iter().enumerate() {
+    for (number, balance) in adapters.into_iter().enumerate() {
         let served = served.clone();
         callers.spawn(async move {
             let mut call = 0;
             while tokio::time::Instant::now() < stop {
-                let id = (at + 1) << 20 | call;
+                let id = (number + 1) << 20 | call;
                 call += 1;
                 let (mut balance, served) = (balance.clone(), served.clone());
                 tokio::spawn(async move {
-                    let answer = balance.call(request_of("post", 2, id)).await.unwrap();
+                    let answer = balance.call(adapter_request("post", 2, id)).await.unwrap();
                     let answer = answer.map(|body| body.collect());
                     if answer.status() == 200 && answer.into_body().await.is_ok() {
                         served.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
--- a/tests/client_leaves.rs
+++ b/tests/client_leaves.rs
@@ -33,7 +33,7 @@
     assert_eq!(
         upstream.count_requests(),
         0,
-        "nothing is sent for a client that has left"
+        "no request of a disconnected client is sent"
     );
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the built binary as a process, and accesses its log, signals and operator API.
+//! Starts the built binary as a process, reads its log, sends it signals and calls its operator API.
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod program;
@@ -67,15 +67,15 @@
     }
 
     /// Starts the program with an admin address, which serves the operator API.
-    pub fn start_with_admin(config: &serde_json::Value) -> (Self, Operators) {
-        Self::start_in(config, &[])
+    pub fn start_with_admin(config: &serde_json::Value) -> (Self, AdminClient) {
+        Self::start_with_admin_and_env(config, &[])
     }
 
     /// Starts the program with an admin address and additional environment variables.
-    pub fn start_in(
+    pub fn start_with_admin_and_env(
         config: &serde_json::Value,
         environment: &[(&str, String)],
-    ) -> (Self, Operators) {
+    ) -> (Self, AdminClient) {
         let mut config = config.clone();
         config["admin"] = "127.0.0.1:0".into();
         let mut program = Self::start_with(&config, environment);
@@ -87,7 +87,7 @@
             .unwrap()
             .parse()
             .expect("an address");
-        (program, Operators { address })
+        (program, AdminClient { address })
     }
 
     /// Sends SIGTERM.
@@ -124,7 +124,7 @@
     }
 
     /// Returns the number of open file descriptors of the process.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
@@ -141,7 +141,7 @@
     }
 
     /// Waits until the process ends; returns its exit status and the rest of the log.
-    pub fn end(mut self) -> (ExitStatus, String) {
+    pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
         let mut log = String::new();
         self.log.read_to_string(&mut log).unwrap();
         (self.child.wait().unwrap(), log)
@@ -170,30 +170,32 @@
     }
 }
 
-/// The admin address of a program, which serves the operator API.
-pub struct Operators {
+/// A client of a program's admin address, which serves the operator API.
+pub struct AdminClient {
     pub address: SocketAddr,
 }
 
-impl Operators {
+impl AdminClient {
     pub fn connect(&self) -> Caller {
-        Caller::connect(self.address).expect("a connection for operators")
+        Caller::connect(self.address).expect("a connection to the admin address")
     }
 
     pub fn get(&self, path: &str) -> Message {
-        self.send_query("GET", path)
+        self.call("GET", path)
     }
 
     pub fn post(&self, path: &str) -> Message {
-        self.send_query("POST", path)
+        self.call("POST", path)
     }
 
-    fn send_query(&self, method: &str, path: &str) -> Message {
+    fn call(&self, method: &str, path: &str) -> Message {
         let mut caller = self.connect();
         caller.write(&format!(
             "{method} {path} HTTP/1.1\r\nHost: operators\r\nContent-Length: 0\r\n\r\n"
         ));
-        caller.read_response().expect("an answer to operators")
+        caller
+            .read_response()
+            .expect("an answer from the admin address")
     }
 
     /// Reads the metrics; the keys are the names with labels.
@@ -210,11 +212,11 @@
 
 /// Runs the program with this configuration until the process ends; returns its exit status and log.
 pub fn run_to_end(config: &str) -> (ExitStatus, String) {
-    run_to_end_in(config, &[])
+    run_to_end_with(config, &[])
 }
 
 /// Runs the program like `run_to_end`, with additional environment variables.
-pub fn run_to_end_in(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
+pub fn run_to_end_with(config: &str, environment: &[(&str, String)]) -> (ExitStatus, String) {
     let (mut child, mut log, _) = spawn(config, environment);
     let mut text = String::new();
     log.read_to_string(&mut text).unwrap();
@@ -230,8 +232,8 @@
     config: &str,
     environment: &[(&str, String)],
 ) -> (Child, BufReader<ChildStderr>, PathBuf) {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("config-{}-{number}.json", std::process::id()));
     std::fs::write(&path, config).unwrap();
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -13,14 +13,16 @@
 
 /// Larger than the part of a response that the balancer buffers before it begins to forward.
 const CHUNK_BYTES: usize = 100 << 10;
-/// The budget of the requests, as header value and as duration.
-const BUDGET: (&str, Duration) = ("0.800", Duration::from_millis(800));
+/// The budget of the requests.
+const BUDGET: Duration = Duration::from_millis(800);
+/// The header value of [`BUDGET`].
+const BUDGET_HEADER: &str = "0.800";
 /// Upper limit for the duration of a request, with a margin for slow machines.
 const MAX_DURATION: Duration = Duration::from_secs(8);
 
-/// Starts an upstream that writes `head`, and then writes `more` repeatedly until the peer closes the
+/// Starts an upstream that writes `head`, and then writes `chunk` repeatedly until the peer closes the
 /// connection. The receiver gets a message at each close.
-fn endless_upstream(head: &'static str, more: String) -> (std::net::SocketAddr, Receiver<()>) {
+fn endless_upstream(head: &'static str, chunk: String) -> (std::net::SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (notify, closed) = channel();
@@ -29,7 +31,7 @@
             let mut request = [0; 4096];
             assert!(stream.read(&mut request).unwrap() > 0);
             stream.write_all(head.as_bytes()).unwrap();
-            while stream.write_all(more.as_bytes()).is_ok() {
+            while stream.write_all(chunk.as_bytes()).is_ok() {
                 std::thread::sleep(Duration::from_millis(10));
             }
             notify.send(()).ok();
@@ -55,7 +57,7 @@
     ));
     let started = Instant::now();
     let mut caller = program.connect();
-    caller.send("post", BUDGET.0, "b");
+    caller.send("post", BUDGET_HEADER, "b");
     assert!(
         caller.read_chunked_body().is_none(),
         "the response is truncated"
@@ -77,13 +79,16 @@
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let started = Instant::now();
     let mut caller = program.connect();
-    caller.send("post", BUDGET.0, "b");
+    caller.send("post", BUDGET_HEADER, "b");
     assert!(
         caller.read_chunked_body().is_none(),
         "the response is truncated"
     );
-    let took = started.elapsed();
-    assert!(took >= BUDGET.1 && took < MAX_DURATION, "{took:?}");
+    let duration = started.elapsed();
+    assert!(
+        duration >= BUDGET && duration < MAX_DURATION,
+        "{duration:?}"
+    );
     upstream.wait_until_closed();
 }
 
@@ -101,12 +106,12 @@
     let mut client = TcpStream::connect(program.address).unwrap();
     let started = Instant::now();
     client
-        .write_all(request("post", BUDGET.0, "b").as_bytes())
+        .write_all(request("post", BUDGET_HEADER, "b").as_bytes())
         .unwrap();
     closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("the balancer closes the upstream connection");
-    assert!(started.elapsed() >= BUDGET.1);
+    assert!(started.elapsed() >= BUDGET);
 }
 
 /// For an HTTP/1.0 client, the end of the connection marks the end of a response without a length. If the
@@ -146,12 +151,12 @@
     let program = Program::start(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     for _ in 0..2 {
-        caller.send("post", BUDGET.0, "b");
+        caller.send("post", BUDGET_HEADER, "b");
         assert_eq!(
             caller.read_chunked_body().expect("an answer").len(),
             CHUNK_BYTES
         );
-        std::thread::sleep(BUDGET.1 * 2);
+        std::thread::sleep(BUDGET * 2);
     }
 }
 
@@ -170,7 +175,7 @@
                 .unwrap();
             for _ in 0..CHUNKS {
                 stream.write_all(chunk().as_bytes()).unwrap();
-                std::thread::sleep(BUDGET.1 / 2);
+                std::thread::sleep(BUDGET / 2);
             }
             stream.write_all(b"0\r\n\r\n").unwrap();
         }
@@ -180,7 +185,7 @@
         &[target("s-0", address, "in_service")],
     ));
     let mut caller = program.connect();
-    caller.send("post", BUDGET.0, "b");
+    caller.send("post", BUDGET_HEADER, "b");
     assert_eq!(
         caller
             .read_chunked_body()
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -51,10 +51,10 @@
     let mut config = config(refused_address(), &in_service(&[&upstream]));
     config["limits"]["sockets"] = DESCRIPTORS.into(); // room for twenty clients
     let program = Program::start_limited(&config, DESCRIPTORS);
-    let whole = request("post", LONG_BUDGET, "b");
-    let (begin, rest) = whole.split_at(whole.len() / 2);
+    let request = request("post", LONG_BUDGET, "b");
+    let (beginning, rest) = request.split_at(request.len() / 2);
     let mut writing = program.connect();
-    writing.write(begin);
+    writing.write(beginning);
     // The response to this later call shows that the balancer has read the partial head.
     assert_eq!(program.call("look").status(), 200);
     let idle_clients: Vec<Caller> = (0..60).filter_map(|_| program.try_connect()).collect();
@@ -68,18 +68,21 @@
 /// first. The process must become ready, and apply the list once discovery recovers.
 #[test]
 fn a_process_that_starts_with_many_idle_clients_is_ready_and_follows_discovery() {
-    let (stale, present) = (
+    let (stale, current) = (
         Upstream::start(|_| Reaction::Respond(ok_response("stale"))),
-        Upstream::start(|_| Reaction::Respond(ok_response("present"))),
+        Upstream::start(|_| Reaction::Respond(ok_response("current"))),
     );
     let discovery =
         Discovery::start_failing("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let (program, _idle_clients) = start_with_idle_clients(&discovery, &stale);
-    let mut front = program.connect();
-    front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-    assert_eq!(front.read_response().expect("an answer").status(), 200);
-    discovery.publish(&in_service(&[&stale, &present])[1..]);
-    assert_eq!(program.call("post").body, b"present");
+    let mut health_checker = program.connect();
+    health_checker.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
+    assert_eq!(
+        health_checker.read_response().expect("an answer").status(),
+        200
+    );
+    discovery.publish(&in_service(&[&stale, &current])[1..]);
+    assert_eq!(program.call("post").body, b"current");
 }
 
 /// Connections that the balancer has closed but the clients keep open must not count against the
@@ -98,7 +101,7 @@
         "Content-Length: 0",
         "Content-Length: 0\r\nTransfer-Encoding: chunked",
     );
-    let ended: Vec<Caller> = (0..CALLERS)
+    let rejected: Vec<Caller> = (0..CALLERS)
         .map(|_| {
             let mut caller = program.connect();
             caller.write(&invalid_request);
@@ -115,11 +118,11 @@
         })
         .collect();
     assert!(
-        program.descriptors() <= 200,
+        program.descriptor_count() <= 200,
         "{} descriptors",
-        program.descriptors()
+        program.descriptor_count()
     );
-    drop((ended, pending));
+    drop((rejected, pending));
 }
 
 /// If `accept` fails for lack of descriptors, the balancer must close idle connections and continue to
@@ -140,10 +143,10 @@
         let caller = program.try_connect();
         let served = caller
             .and_then(|mut caller| caller.call("look", LONG_BUDGET, ""))
-            .is_some_and(|a| a.status() == 200);
-        served || {
+            .is_some_and(|answer| answer.status() == 200);
+        if !served {
             std::thread::sleep(Duration::from_millis(20));
-            false
         }
+        served
     });
 }
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -14,12 +14,12 @@
 /// Time limit for a change of the list to reach the balancer.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Starts a discovery service whose response depends on the number of the call; it records each call.
+/// Starts a discovery service whose response depends on the number of the call, from 0; it records each call.
 fn scripted_discovery(
-    answer: impl Fn(usize, &Message) -> Reaction + Send + Sync + 'static,
+    respond: impl Fn(usize, &Message) -> Reaction + Send + Sync + 'static,
 ) -> Upstream {
     let calls = AtomicUsize::new(0);
-    Upstream::start(move |message| answer(calls.fetch_add(1, Ordering::SeqCst), message))
+    Upstream::start(move |message| respond(calls.fetch_add(1, Ordering::SeqCst), message))
 }
 
 fn complete_list(rev: u64, targets: &[String]) -> String {
@@ -43,11 +43,11 @@
 
 impl UpstreamPair {
     fn start() -> Self {
-        let answering =
+        let start =
             |text: &'static str| Upstream::start(move |_| Reaction::Respond(ok_response(text)));
         Self {
-            former: answering("old"),
-            new: answering("new"),
+            former: start("old"),
+            new: start("new"),
         }
     }
 
@@ -110,7 +110,7 @@
     let program = Program::start(&with_polling(pair.config(discovery.address)));
     let watch = discovery.request();
     let stalled_since = Instant::now();
-    let wait: f64 = watch
+    let wait_ms: f64 = watch
         .start_line
         .split("wait_ms=")
         .nth(1)
@@ -121,10 +121,10 @@
         .parse()
         .unwrap();
     discovery.request();
-    let late = stalled_since.elapsed().as_secs_f64() - wait / 1e3;
+    let delay_s = stalled_since.elapsed().as_secs_f64() - wait_ms / 1e3;
     assert!(
-        (0.0..1.5).contains(&late),
-        "opened anew {late:.2} s after its wait"
+        (0.0..1.5).contains(&delay_s),
+        "the watch is repeated {delay_s:.2} s after the end of its wait"
     );
     pair.assert_list_applied(&program);
 }
@@ -148,15 +148,15 @@
 #[test]
 fn a_connection_that_is_never_established_is_given_up_in_time() {
     let pair = UpstreamPair::start();
-    let late = StalledListener::start();
-    let mut program = Program::start(&with_polling(pair.config(late.address())));
-    late.wait_until_connecting();
-    let dialled = Instant::now();
+    let listener = StalledListener::start();
+    let mut program = Program::start(&with_polling(pair.config(listener.address())));
+    listener.wait_until_connecting();
+    let connecting_since = Instant::now();
     program.wait_for_log("discovery_failed error=");
     assert!(
-        dialled.elapsed() < NOTIFICATION_TIMEOUT,
+        connecting_since.elapsed() < NOTIFICATION_TIMEOUT,
         "{:?}",
-        dialled.elapsed()
+        connecting_since.elapsed()
     );
 }
 
@@ -171,7 +171,13 @@
     let chunks: String = list
         .as_bytes()
         .chunks(7)
-        .map(|c| format!("{:x}\r\n{}\r\n", c.len(), String::from_utf8_lossy(c)))
+        .map(|chunk| {
+            format!(
+                "{:x}\r\n{}\r\n",
+                chunk.len(),
+                String::from_utf8_lossy(chunk)
+            )
+        })
         .collect();
     let closing = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{list}");
     let forms = [
@@ -203,7 +209,7 @@
 fn failed_calls_are_made_again() {
     let pair = UpstreamPair::start();
     let list = pair.list(5);
-    let half = format!(
+    let truncated = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
         list.len(),
         &list[..list.len() / 2]
@@ -211,7 +217,7 @@
     let failures = [
         Reaction::RespondAndClose(String::new()),
         Reaction::Respond("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()),
-        Reaction::RespondAndClose(half),
+        Reaction::RespondAndClose(truncated),
         Reaction::Respond(ok_response("{\"rev\":")),
         Reaction::Respond(ok_response("[]")),
     ];
@@ -278,9 +284,9 @@
 #[test]
 fn a_late_response_of_the_former_address_is_dropped() {
     let pair = UpstreamPair::start();
-    let answering = Arc::new(Barrier::new(2));
+    let late_response = Arc::new(Barrier::new(2));
     let (response_barrier, former_list) = (
-        answering.clone(),
+        late_response.clone(),
         complete_list(90, &[target("s-old", pair.former.address, "in_service")]),
     );
     let former = scripted_discovery(move |call, _| match call {
@@ -315,7 +321,7 @@
     );
     assert!(signal.elapsed() < Duration::from_secs(4));
     pair.assert_list_applied(&program);
-    answering.wait();
+    late_response.wait();
     former.wait_until_closed();
     pair.assert_list_applied(&program);
 }
@@ -325,8 +331,7 @@
 #[test]
 fn ready_at_once_with_a_stale_list_and_discovery_down() {
     let pair = UpstreamPair::start();
-    let list = Mutex::new(None::<String>);
-    let list = Arc::new(list);
+    let list = Arc::new(Mutex::new(None::<String>));
     let current_list = list.clone();
     let discovery = Upstream::start(move |_| match current_list.lock().unwrap().clone() {
         Some(list) => Reaction::Respond(ok_response(&list)),
@@ -337,9 +342,12 @@
         &[target("s-gone", refused_address(), "in_service")],
     );
     let program = Program::start(&stale);
-    let mut front = program.connect();
-    front.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-    assert_eq!(front.read_response().expect("an answer").status(), 200);
+    let mut health_checker = program.connect();
+    health_checker.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
+    assert_eq!(
+        health_checker.read_response().expect("an answer").status(),
+        200
+    );
     discovery.request();
     assert_eq!(
         program.call("post").status(),
@@ -359,8 +367,8 @@
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     program.wait_for_log("discovery_failed error=");
     program.wait_for_log("discovery_failing seconds=1 failures=");
-    let second = program.wait_for_log("discovery_failing seconds=");
-    assert!(second.contains("seconds=3 "), "{second}");
+    let second_reminder = program.wait_for_log("discovery_failing seconds=");
+    assert!(second_reminder.contains("seconds=3 "), "{second_reminder}");
     assert_eq!(program.call("look").body, b"served");
     let metrics = admin.metrics();
     assert!(
@@ -376,9 +384,9 @@
 fn discovery_that_answers_late_is_used() {
     let pair = UpstreamPair::start();
     let list = pair.list(5);
-    let answers = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let answering = answers.clone();
-    let discovery = scripted_discovery(move |_, _| match answering.load(Ordering::SeqCst) {
+    let is_responding = Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let responds = is_responding.clone();
+    let discovery = scripted_discovery(move |_, _| match responds.load(Ordering::SeqCst) {
         true => Reaction::Respond(ok_response(&list)),
         false => Reaction::Stall,
     });
@@ -391,7 +399,7 @@
     );
     assert!(admin.metrics()["balancer_list_age_seconds"] >= 3.0);
     assert_eq!(program.call("look").body, b"old");
-    answers.store(true, Ordering::SeqCst);
+    is_responding.store(true, Ordering::SeqCst);
     program.wait_for_log("discovery_recovered failures=");
     pair.assert_list_applied(&program);
     assert!(admin.metrics()["balancer_list_age_seconds"] < 2.0);
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -22,11 +22,11 @@
 /// Starts one upstream in each of two zones; each upstream responds with the name of its zone.
 fn upstreams() -> (Vec<Upstream>, serde_json::Value) {
     let zones: [&'static str; 2] = ["a", "b"];
-    let all: Vec<Upstream> = zones
+    let upstreams: Vec<Upstream> = zones
         .into_iter()
         .map(|zone| Upstream::start(move |_| Reaction::Respond(ok_response(zone))))
         .collect();
-    let targets: Vec<String> = all
+    let targets: Vec<String> = upstreams
         .iter()
         .zip(zones)
         .map(|(upstream, zone)| {
@@ -36,22 +36,23 @@
         .collect();
     let mut config = config(refused_address(), &targets);
     config["settings"]["Zones"] = serde_json::json!(zones);
-    (all, config)
+    (upstreams, config)
 }
 
+/// Starts a balancer with an operator file; returns the program, its admin client and its membership address.
 fn start(
     directory: &Path,
     name: &str,
     seeds: &str,
     config: &serde_json::Value,
-) -> (Program, Operators, String) {
-    let free = TcpListener::bind("127.0.0.1:0")
+) -> (Program, AdminClient, String) {
+    let membership_address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .to_string();
     let text = format!(
-        "[instances]\nlisten = \"{free}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n\
+        "[instances]\nlisten = \"{membership_address}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n\
          [evacuation]\n[evacuation.regions]\na = \"west\"\nb = \"east\"\n"
     );
     let file = directory.join(format!("{name}.toml"));
@@ -60,15 +61,16 @@
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
         ("LB_NAME", name.to_owned()),
     ];
-    let (program, admin) = Program::start_in(config, &environment);
-    (program, admin, free)
+    let (program, admin) = Program::start_with_admin_and_env(config, &environment);
+    (program, admin, membership_address)
 }
 
-fn run_domain_command(admin: &Operators, arguments: &[&str]) -> (bool, String) {
-    let at = admin.address.to_string();
+/// Runs an operator's command; returns whether it succeeded, and its output or its error message.
+fn run_domain_command(admin: &AdminClient, arguments: &[&str]) -> (bool, String) {
+    let address = admin.address.to_string();
     let output = Command::new(common::program::program_path())
         .args(arguments)
-        .args(["--admin", &at])
+        .args(["--admin", &address])
         .output()
         .unwrap();
     let output_bytes = if output.status.success() {
@@ -82,11 +84,12 @@
     )
 }
 
-fn zone_of(program: &Program) -> String {
+/// Returns the zone whose upstream responds to a call.
+fn responding_zone(program: &Program) -> String {
     String::from_utf8(program.call("look").body).unwrap()
 }
 
-fn assert_invalid_commands_are_rejected(admin: &Operators) {
+fn assert_invalid_commands_are_rejected(admin: &AdminClient) {
     let (is_accepted, text) = run_domain_command(admin, &["zone", "leave", "c"]);
     assert!(!is_accepted && text.contains("no zone c"), "{text}");
     let (is_accepted, text) = run_domain_command(admin, &["nodo", "leave", "a/b"]);
@@ -103,17 +106,18 @@
 
 #[test]
 fn an_order_at_one_balancer_is_followed_by_all() {
-    let directory = directory("words");
+    let directory = directory("orders");
     let (_upstreams, config) = upstreams();
-    let (first, admin, at) = start(&directory, "balancer-one", "", &config);
-    let (mut second, other, _) = start(&directory, "balancer-two", &format!("{at:?}"), &config);
+    let (first, admin, address) = start(&directory, "balancer-one", "", &config);
+    let (mut second, other_admin, _) =
+        start(&directory, "balancer-two", &format!("{address:?}"), &config);
     wait_until("the balancers discover each other", || {
-        [&admin, &other]
+        [&admin, &other_admin]
             .iter()
             .all(|admin| admin.metrics()[r#"balancer_members{state="alive"}"#] == 1.0)
     });
-    assert!((0..10).all(|_| zone_of(&first) == "a" && zone_of(&second) == "a"));
-    let (_, text) = run_domain_command(&other, &["zone", "status"]);
+    assert!((0..10).all(|_| responding_zone(&first) == "a" && responding_zone(&second) == "a"));
+    let (_, text) = run_domain_command(&other_admin, &["zone", "status"]);
     assert!(
         text.contains("zone a: in use, epoch 0, share 100%, 1 nodos in service"),
         "{text}"
@@ -124,43 +128,45 @@
         (true, String::new())
     );
     wait_until("both balancers leave zone a", || {
-        zone_of(&first) == "b" && zone_of(&second) == "b"
+        responding_zone(&first) == "b" && responding_zone(&second) == "b"
     });
-    assert!((0..20).all(|_| zone_of(&second) == "b"));
+    assert!((0..20).all(|_| responding_zone(&second) == "b"));
     second.wait_for_log("places: zone a: an operator's word, leave, for ");
-    let (_, text) = run_domain_command(&other, &["zone", "status", "a"]);
+    let (_, text) = run_domain_command(&other_admin, &["zone", "status", "a"]);
     assert!(
         text.contains("share 0%") && text.contains("an operator's word: leave, for "),
         "{text}"
     );
     assert_eq!(
-        other.metrics()[r#"balancer_place_share{place="zone a"}"#],
+        other_admin.metrics()[r#"balancer_place_share{place="zone a"}"#],
         0.0
     );
 
     // The latest order wins, whichever balancer receives it. An evacuation of both regions is ignored, so
     // that some domain always stays in use.
-    assert!(run_domain_command(&other, &["zone", "hold", "a", "--for", "1m"]).0);
+    assert!(run_domain_command(&other_admin, &["zone", "hold", "a", "--for", "1m"]).0);
     wait_until("the latest order applies", || {
-        zone_of(&first) == "a" && zone_of(&second) == "a"
+        responding_zone(&first) == "a" && responding_zone(&second) == "a"
     });
-    assert!(run_domain_command(&other, &["region", "leave", "west", "--for", "1m"]).0);
+    assert!(run_domain_command(&other_admin, &["region", "leave", "west", "--for", "1m"]).0);
     wait_until("an order for a region applies to its zones", || {
-        zone_of(&first) == "b"
+        responding_zone(&first) == "b"
     });
-    assert!(run_domain_command(&other, &["region", "leave", "east", "--for", "1m"]).0);
+    assert!(run_domain_command(&other_admin, &["region", "leave", "east", "--for", "1m"]).0);
     wait_until("an evacuation of all regions is ignored", || {
-        zone_of(&first) == "a"
+        responding_zone(&first) == "a"
     });
     assert!(
-        run_domain_command(&other, &["region", "return", "east"]).0
+        run_domain_command(&other_admin, &["region", "return", "east"]).0
             && run_domain_command(&admin, &["region", "return", "west"]).0
     );
     // An order ends when its time expires.
     assert!(run_domain_command(&admin, &["zone", "leave", "a", "--for", "1s"]).0);
-    wait_until("zone a is left", || zone_of(&second) == "b");
+    wait_until("the balancer leaves zone a", || {
+        responding_zone(&second) == "b"
+    });
     wait_until("the order expires", || {
-        zone_of(&second) == "a" && zone_of(&first) == "a"
+        responding_zone(&second) == "a" && responding_zone(&first) == "a"
     });
 
     assert_invalid_commands_are_rejected(&admin);
--- a/tests/golden_daemon.rs
+++ b/tests/golden_daemon.rs
@@ -49,7 +49,7 @@
 /// Masks the digits of the metrics that depend on time, and of the first content length, which depends on
 /// their digits.
 fn without_varying_values(metrics: &str) -> String {
-    let varies = [
+    let varying_metrics = [
         "balancer_discovery_failures ",
         "balancer_list_age_seconds ",
         "balancer_members_bytes ",
@@ -59,7 +59,7 @@
     let mut is_first_length = true;
     let mut varies = |line: &str| match line.starts_with("content-length: ") {
         true => std::mem::take(&mut is_first_length),
-        false => varies.iter().any(|name| line.starts_with(name)),
+        false => varying_metrics.iter().any(|name| line.starts_with(name)),
     };
     let mask = |line: &str| match varies(line) {
         true => without_digits(line),
@@ -69,7 +69,7 @@
 }
 
 /// A client request with `Connection: close`.
-fn closing(class: &str, body: &str) -> String {
+fn closing_request(class: &str, body: &str) -> String {
     named_request("9b1f03aa00000001", class, LONG_BUDGET, body)
         .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
 }
@@ -79,7 +79,7 @@
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let (program, _) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
-    let pay = closing("pay", "body");
+    let pay = closing_request("pay", "body");
     let cases = [
         ("it is served", pay.clone()),
         ("no such path", pay.replace(" /pay", " /none")),
@@ -128,13 +128,13 @@
     });
     let (program, _) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&failing])));
-    let failed = exchange(program.address, &closing("post", "body"));
-    let gone = config(
+    let failed = exchange(program.address, &closing_request("post", "body"));
+    let unreachable = config(
         refused_address(),
         &[target("s-0", refused_address(), "in_service")],
     );
-    let (program, _) = Program::start_with_admin(&gone);
-    let refused = exchange(program.address, &closing("post", "body"));
+    let (program, _) = Program::start_with_admin(&unreachable);
+    let refused = exchange(program.address, &closing_request("post", "body"));
     let refused: String = refused
         .split_inclusive('\n')
         .map(|line| match line.starts_with("retry-after: ") {
@@ -157,7 +157,7 @@
     for class in ["look", "pay", "post"] {
         exchange(
             program.address,
-            &closing(class, if class == "look" { "" } else { "body" }),
+            &closing_request(class, if class == "look" { "" } else { "body" }),
         );
         let message = upstream.request();
         let mut headers: Vec<_> = message.headers.iter().collect();
@@ -180,7 +180,7 @@
 }
 
 /// Calls each path of the operator API with each method, and returns all responses.
-fn operator_calls(admin: &Operators, paths: &[&str]) -> String {
+fn operator_calls(admin: &AdminClient, paths: &[&str]) -> String {
     let mut text = String::new();
     for path in paths {
         for method in ["GET", "POST", "DELETE"] {
@@ -197,7 +197,7 @@
 
 /// Waits until the daemon has assessed a failure domain; before that, its status has another reason.
 fn await_first_assessment(admin: SocketAddr, domain: &str) {
-    let begin = Instant::now();
+    let began = Instant::now();
     let named = format!("\"name\":\"{domain}\"");
     loop {
         let places = exchange(
@@ -209,7 +209,7 @@
         if entry.is_some_and(|entry| entry.contains("calls fail")) {
             return;
         }
-        assert!(begin.elapsed() < TEST_TIMEOUT, "{places}");
+        assert!(began.elapsed() < TEST_TIMEOUT, "{places}");
     }
 }
 
@@ -243,7 +243,7 @@
     for class in ["look", "look", "pay", "post", "none"] {
         exchange(
             program.address,
-            &closing(class, if class == "look" { "" } else { "body" }),
+            &closing_request(class, if class == "look" { "" } else { "body" }),
         );
     }
     wait_until("all requests have ended", || {
@@ -258,13 +258,13 @@
     let directory =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
-    let free = TcpListener::bind("127.0.0.1:0")
+    let membership_address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let file = directory.join("operator.toml");
     let text = format!(
-        "[instances]\nlisten = \"{free}\"\ninsecure = true\n\
+        "[instances]\nlisten = \"{membership_address}\"\ninsecure = true\n\
          [evacuation]\n[evacuation.regions]\na = \"west\"\n"
     );
     std::fs::write(&file, text).unwrap();
@@ -272,7 +272,8 @@
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
         ("LB_NAME", "balancer-one".to_owned()),
     ];
-    let (_program, admin) = Program::start_in(&config(refused_address(), &[]), &environment);
+    let (_program, admin) =
+        Program::start_with_admin_and_env(&config(refused_address(), &[]), &environment);
     let counters = exchange(
         admin.address,
         "GET /control/counters HTTP/1.1\r\nHost: operators\r\n\r\n",
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -16,30 +16,33 @@
     path
 }
 
-/// Starts a balancer with an operator file; returns the program, its admin address and its membership
-/// address.
-fn start(directory: &Path, name: &str, seeds: &str) -> (Program, Operators, String) {
-    let free = TcpListener::bind("127.0.0.1:0")
+/// Starts a balancer with an operator file; returns the program, its admin client and its membership address.
+fn start(directory: &Path, name: &str, seeds: &str) -> (Program, AdminClient, String) {
+    let membership_address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .to_string();
-    let text = format!("[instances]\nlisten = \"{free}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n");
+    let text = format!(
+        "[instances]\nlisten = \"{membership_address}\"\nkey_file = \"key\"\nseeds = [{seeds}]\n"
+    );
     let file = directory.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
     let environment = [
         ("LB_OPERATOR", file.to_str().unwrap().to_owned()),
         ("LB_NAME", name.to_owned()),
     ];
-    let (program, admin) = Program::start_in(&config(refused_address(), &[]), &environment);
-    (program, admin, free)
+    let (program, admin) =
+        Program::start_with_admin_and_env(&config(refused_address(), &[]), &environment);
+    (program, admin, membership_address)
 }
 
-fn show_members(admin: &Operators, extra: &[&str]) -> (bool, String) {
-    let at = admin.address.to_string();
+/// Runs the `instances` command; returns whether it succeeded, and its output or its error message.
+fn show_members(admin: &AdminClient, extra: &[&str]) -> (bool, String) {
+    let address = admin.address.to_string();
     let mut command = Command::new(common::program::program_path());
     let output = command
-        .args(["instances", "--admin", &at])
+        .args(["instances", "--admin", &address])
         .args(extra)
         .output()
         .unwrap();
@@ -56,13 +59,15 @@
 #[test]
 fn operators_see_the_members() {
     let directory = directory();
-    let (mut one, admin, at) = start(&directory, "balancer-one", "");
-    let (two, other, _) = start(&directory, "balancer-two", &format!("{at:?}"));
+    let (mut first, admin, address) = start(&directory, "balancer-one", "");
+    let (second, other_admin, _) = start(&directory, "balancer-two", &format!("{address:?}"));
     wait_until("the first balancer lists the second", || {
         show_members(&admin, &["--json"]).1.contains("balancer-two")
     });
     wait_until("the second balancer lists the first", || {
-        show_members(&other, &["--json"]).1.contains("balancer-one")
+        show_members(&other_admin, &["--json"])
+            .1
+            .contains("balancer-one")
     });
     let (_, text) = show_members(&admin, &[]);
     assert!(text.starts_with("balancer-one in zone a"), "{text}");
@@ -81,9 +86,9 @@
         "{metrics:?}"
     );
     assert!(metrics["balancer_members_bytes"] > 0.0 && metrics["balancer_members_cut_off"] == 0.0);
-    one.wait_for_log("membership: member joined name=balancer-two zone=a");
-    two.terminate();
-    one.wait_for_log("membership: member left name=balancer-two");
+    first.wait_for_log("membership: member joined name=balancer-two zone=a");
+    second.terminate();
+    first.wait_for_log("membership: member left name=balancer-two");
     std::fs::remove_dir_all(directory).unwrap();
 }
 
@@ -128,7 +133,7 @@
         );
         let environment = [("LB_OPERATOR", file.to_str().unwrap().to_owned())];
         let (status, text) =
-            run_to_end_in(&config(refused_address(), &[]).to_string(), &environment);
+            run_to_end_with(&config(refused_address(), &[]).to_string(), &environment);
         assert!(
             !status.success() && text.contains(field) && text.lines().count() == 1,
             "{text}"
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn counters_are_what_callers_got() {
+fn counters_match_the_responses_to_callers() {
     let upstream = Upstream::start(|message| match message.start_line.as_str() {
         line if line.contains("look") => Reaction::Respond(ok_response("seen")),
         line if line.contains("pay") => Reaction::Respond(overloaded_response()),
@@ -48,13 +48,13 @@
         assert_eq!(program.call(class).status(), status);
     }
     let metrics = admin.metrics();
-    let tries = upstream.count_requests();
+    let attempts = upstream.count_requests();
     let expected = [
         (r#"balancer_ok{kind="look"}"#, 2),
         (r#"balancer_errors{kind="look"}"#, 0),
         (r#"balancer_errors{kind="post"}"#, 1),
         (r#"balancer_shed{kind="pay"}"#, 1),
-        ("balancer_tries", tries),
+        ("balancer_tries", attempts),
         ("balancer_active", 0),
         ("balancer_pool_size", 1),
     ];
@@ -93,7 +93,7 @@
     let mut busy = program.connect();
     let mut writing = program.connect();
     let request = request("look", LONG_BUDGET, "");
-    let (start, end) = request.split_at(40);
+    let (beginning, rest) = request.split_at(40);
     assert_eq!(health_status(), 200);
 
     assert_eq!(admin.post("/control/out-of-service").status(), 200);
@@ -112,7 +112,7 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    writing.write(start);
+    writing.write(beginning);
     assert!(
         idle.read_response().is_none(),
         "an idle connection is closed"
@@ -122,7 +122,7 @@
         "{:?}",
         started.elapsed()
     );
-    writing.write(end);
+    writing.write(rest);
     assert_eq!(
         writing.read_response().unwrap().status(),
         200,
@@ -155,7 +155,7 @@
         assert_eq!(second.call("look").status(), 200);
     }
     first.terminate();
-    let (status, log) = first.end();
+    let (status, log) = first.wait_for_exit();
     assert!(status.success(), "{log}");
     for _ in 0..20 {
         assert_eq!(
@@ -225,7 +225,7 @@
     assert_eq!(metrics["balancer_config_applied"], 1.0);
 }
 
-/// Guards rule 2 across a reload: stricter settings apply to each later request.
+/// Guards rule 2 (no effect twice) across a reload: stricter settings apply to each later request.
 #[test]
 fn a_stricter_effect_and_fewer_attempts_apply_after_a_reload() {
     let upstream = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
@@ -262,17 +262,18 @@
     let good = config(refused_address(), &in_service(&[&upstream]));
     let (mut program, admin) = Program::start_with_admin(&good);
     let text = good.to_string();
-    let wrong = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut wrong = with_classes(&good, |classes| classes.truncate(1));
-        change(&mut wrong);
-        wrong.to_string()
+    // Such a file also has fewer classes, so that a partial application would show.
+    let invalid = |change: &dyn Fn(&mut serde_json::Value)| {
+        let mut file = with_classes(&good, |classes| classes.truncate(1));
+        change(&mut file);
+        file.to_string()
     };
     let files = [
         String::new(),
         text[..text.len() / 2].to_owned(),
-        wrong(&|file| drop(file.as_object_mut().unwrap().remove("settings"))),
-        wrong(&|file| drop(file["settings"].as_object_mut().unwrap().remove("Classes"))),
-        wrong(&|file| {
+        invalid(&|file| drop(file.as_object_mut().unwrap().remove("settings"))),
+        invalid(&|file| drop(file["settings"].as_object_mut().unwrap().remove("Classes"))),
+        invalid(&|file| {
             drop(
                 file["settings"]["Classes"][0]
                     .as_object_mut()
@@ -280,10 +281,10 @@
                     .remove("DeadlineNs"),
             )
         }),
-        wrong(&|file| file["settings"]["Classes"][0]["DeadlineNs"] = 0.into()),
-        wrong(&|file| file["settings"]["Classes"][0]["DeadlineNs"] = (-1).into()),
-        wrong(&|file| file["settings"]["Limits"]["TryLimit"] = 0.into()),
-        wrong(&|file| file["settings"]["Zones"] = serde_json::json!(["b"])),
+        invalid(&|file| file["settings"]["Classes"][0]["DeadlineNs"] = 0.into()),
+        invalid(&|file| file["settings"]["Classes"][0]["DeadlineNs"] = (-1).into()),
+        invalid(&|file| file["settings"]["Limits"]["TryLimit"] = 0.into()),
+        invalid(&|file| file["settings"]["Zones"] = serde_json::json!(["b"])),
     ];
     for file in &files {
         program.reload(file);
@@ -297,14 +298,16 @@
 
 /// Returns a body of `bytes` bytes in which each block of eight bytes is different.
 fn distinct_bytes(bytes: usize) -> String {
-    (0..bytes / 8).map(|at| format!("{at:07} ")).collect()
+    (0..bytes / 8)
+        .map(|number| format!("{number:07} "))
+        .collect()
 }
 
 #[test]
 fn large_bodies_and_responses_pass_unchanged_and_connections_are_reused() {
-    let answer = distinct_bytes(3 << 20);
+    let response_body = distinct_bytes(3 << 20);
     let chunked = {
-        let parts = answer.as_bytes().chunks(100_000).map(|part| {
+        let parts = response_body.as_bytes().chunks(100_000).map(|part| {
             format!(
                 "{:x}\r\n{}\r\n",
                 part.len(),
@@ -316,25 +319,28 @@
             parts.collect::<String>()
         )
     };
-    let (whole, sent) = (answer.clone(), distinct_bytes(2 << 20));
+    let request_body = distinct_bytes(2 << 20);
+    let unchunked = ok_response(&response_body);
     let upstream = Upstream::start(move |message| match message.start_line.contains("pay") {
         true => Reaction::Respond(chunked.clone()),
-        false => Reaction::Respond(ok_response(&whole)),
+        false => Reaction::Respond(unchunked.clone()),
     });
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     for _ in 0..3 {
-        let got = caller.call("post", LONG_BUDGET, &sent).expect("an answer");
+        let response = caller
+            .call("post", LONG_BUDGET, &request_body)
+            .expect("an answer");
         assert!(
-            got.status() == 200 && got.body == answer.as_bytes(),
+            response.status() == 200 && response.body == response_body.as_bytes(),
             "{}",
-            got.start_line
+            response.start_line
         );
-        assert!(upstream.request().body == sent.as_bytes());
+        assert!(upstream.request().body == request_body.as_bytes());
     }
     caller.send("pay", LONG_BUDGET, "b");
-    assert!(caller.read_chunked_body().expect("an answer") == answer.as_bytes());
+    assert!(caller.read_chunked_body().expect("an answer") == response_body.as_bytes());
     let connections = upstream
         .events
         .try_iter()
@@ -352,7 +358,7 @@
     let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     program.call("look");
-    let before = program.resident_memory_kib();
+    let before_kib = program.resident_memory_kib();
     let mut callers: Vec<_> = (0..12).map(|_| program.connect()).collect();
     callers
         .iter_mut()
@@ -360,10 +366,10 @@
     for caller in &mut callers {
         caller.await_data();
     }
-    let growth_kib = program.resident_memory_kib().saturating_sub(before);
+    let growth_kib = program.resident_memory_kib().saturating_sub(before_kib);
     assert!(
         growth_kib < 16 << 10,
-        "{growth_kib} KiB more for 192 MiB of answers"
+        "{growth_kib} KiB more for 192 MiB of responses"
     );
     assert_eq!(admin.metrics()["balancer_active"], 12.0);
     let mut last = callers.pop().unwrap();
@@ -453,22 +459,22 @@
         Reaction::Respond("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".into())
     });
     let mut settings = config(refused_address(), &in_service(&[&healthy, &broken]));
-    let (first, operators) = Program::start_in(&settings, &environment);
-    while operators.metrics()["balancer_pool_ejected"] == 0.0 {
+    let (first, first_admin) = Program::start_with_admin_and_env(&settings, &environment);
+    while first_admin.metrics()["balancer_pool_ejected"] == 0.0 {
         assert_eq!(first.call("look").status(), 200);
     }
     settings["listen"] = first.address.to_string().into();
-    let (second, operators) = Program::start_in(&settings, &environment);
+    let (second, second_admin) = Program::start_with_admin_and_env(&settings, &environment);
     assert_eq!(
-        operators.metrics()["balancer_pool_ejected"],
+        second_admin.metrics()["balancer_pool_ejected"],
         1.0,
-        "before its first call"
+        "the restored state ejects the upstream before the first call"
     );
     // The second process in turn passes its state on to a third one.
     first.terminate();
-    assert!(first.end().0.success());
-    let (third, operators) = Program::start_in(&settings, &environment);
-    assert_eq!(operators.metrics()["balancer_pool_size"], 2.0);
+    assert!(first.wait_for_exit().0.success());
+    let (third, third_admin) = Program::start_with_admin_and_env(&settings, &environment);
+    assert_eq!(third_admin.metrics()["balancer_pool_size"], 2.0);
     drop(second);
     assert_eq!(third.call("look").status(), 200);
     std::fs::remove_dir_all(directory).ok();
@@ -483,7 +489,7 @@
     let environment = [("TMPDIR", directory.to_str().unwrap().to_owned())];
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("done")));
     let mut settings = config(refused_address(), &in_service(&[&upstream]));
-    let (first, _) = Program::start_in(&settings, &environment);
+    let (first, _) = Program::start_with_admin_and_env(&settings, &environment);
     settings["listen"] = first.address.to_string().into();
     let path = directory.join(format!(
         "woadstall-127.0.0.1-{}.state",
@@ -492,19 +498,19 @@
     for nonsense in ["", "{\"version\":9}", "{\"version\":1,\"classes\""] {
         std::fs::remove_file(&path).unwrap();
         let listener = std::os::unix::net::UnixListener::bind(&path).unwrap();
-        let (served, wait) = std::sync::mpsc::channel::<()>();
+        let (second_serves, hang) = std::sync::mpsc::channel::<()>();
         let predecessor = std::thread::spawn(move || {
             let mut stream = listener.accept().unwrap().0;
             stream.write_all(nonsense.as_bytes()).unwrap();
             if nonsense.is_empty() {
-                wait.recv().ok(); // the predecessor hangs until the new process serves
+                hang.recv().ok(); // the predecessor hangs until the new process serves
             }
         });
         // The admin address is logged only after the new process has opened its own client socket; the call itself
         // may reach either process.
-        let (second, _) = Program::start_in(&settings, &environment);
+        let (second, _) = Program::start_with_admin_and_env(&settings, &environment);
         assert_eq!(second.call("look").status(), 200);
-        drop(served);
+        drop(second_serves);
         predecessor.join().unwrap();
     }
     std::fs::remove_dir_all(directory).ok();
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,5 +1,5 @@
-//! Tests of settings that change while requests are in flight. The stricter settings apply to such a request:
-//! those at its arrival or those in force.
+//! Tests of settings that change while requests are in flight. To such a request, the stricter settings apply: those at
+//! its arrival or those in force.
 
 mod common;
 
@@ -13,15 +13,16 @@
 struct BreakingUpstream {
     upstream: Upstream,
     /// Released when the upstream has received the request.
-    pending: Arc<Barrier>,
+    request_received: Arc<Barrier>,
     /// Released when the upstream must close the connection without a response.
-    broken: Arc<Barrier>,
+    break_attempt: Arc<Barrier>,
 }
 
 impl BreakingUpstream {
     fn start() -> Self {
-        let (pending, broken) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-        let (received, break_signal) = (pending.clone(), broken.clone());
+        let (request_received, break_attempt) =
+            (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
+        let (received, break_signal) = (request_received.clone(), break_attempt.clone());
         let upstream = Upstream::start(move |message| match message.body == b"first" {
             true => {
                 received.wait();
@@ -32,8 +33,8 @@
         });
         Self {
             upstream,
-            pending,
-            broken,
+            request_received,
+            break_attempt,
         }
     }
 }
@@ -43,8 +44,8 @@
 fn retry_after_change(change: impl Fn(&mut Value)) -> (u16, usize) {
     let BreakingUpstream {
         upstream,
-        pending,
-        broken,
+        request_received,
+        break_attempt,
     } = BreakingUpstream::start();
     let other = Upstream::start(|_| Reaction::Respond(ok_response("repeated")));
     let discovery = Discovery::start();
@@ -54,13 +55,13 @@
     discovery.wait_until_watched();
     let mut caller = program.connect();
     caller.send("pay", LONG_BUDGET, "first");
-    pending.wait();
+    request_received.wait();
     discovery.publish(&[target("s-other", other.address, "in_service")]);
     let mut after = before.clone();
     change(&mut after["settings"]["Classes"][1]);
     program.reload(&after.to_string());
     program.wait_for_log("configuration_applied discovery=");
-    broken.wait();
+    break_attempt.wait();
     let status = caller.read_response().expect("an answer").status();
     (status, other.count_requests())
 }
@@ -80,7 +81,7 @@
     );
 }
 
-/// Guards rule 2: upstreams may already apply the new settings, under which a retry is not safe.
+/// Guards rule 2 (no effect twice): upstreams may already apply the new settings, under which a retry is not safe.
 #[test]
 fn stricter_settings_apply_to_a_keyed_request_in_flight() {
     assert_eq!(
@@ -98,15 +99,15 @@
 fn positions_and_names_may_change_while_requests_are_in_flight() {
     let BreakingUpstream {
         upstream,
-        pending,
-        broken,
+        request_received,
+        break_attempt,
     } = BreakingUpstream::start();
     for rename in [false, true] {
         let before = config(refused_address(), &in_service(&[&upstream]));
         let mut program = Program::start(&before);
         let mut caller = program.connect();
         caller.send("post", LONG_BUDGET, "first");
-        pending.wait();
+        request_received.wait();
         let mut after = before.clone();
         let classes = after["settings"]["Classes"].as_array_mut().unwrap();
         classes.reverse();
@@ -116,7 +117,7 @@
         program.reload(&after.to_string());
         program.wait_for_log("configuration_applied discovery=");
         upstream.events.try_iter().for_each(drop);
-        broken.wait();
+        break_attempt.wait();
         assert_eq!(
             caller.read_response().expect("an answer").status(),
             502,
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -30,10 +30,10 @@
 }
 
 /// Sends SIGTERM and waits until the program has begun to shut down.
-fn terminate(program: &Program, operators: &Operators) {
+fn terminate(program: &Program, admin: &AdminClient) {
     program.terminate();
     wait_until("the program shuts down", || {
-        operators.get("/control/ready").status() == 503
+        admin.get("/control/ready").status() == 503
     });
 }
 
@@ -41,7 +41,7 @@
 #[test]
 fn pipelined_requests_have_responses_before_the_connection_ends() {
     let (upstream, release) = delaying_upstream();
-    let (program, operators) =
+    let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
     let mut caller = program.connect();
     let bodies = ["one", "two", "three"];
@@ -51,7 +51,7 @@
             .concat(),
     );
     upstream.request();
-    terminate(&program, &operators);
+    terminate(&program, &admin);
     for body in bodies {
         release.send(()).unwrap();
         let answer = caller
@@ -63,7 +63,7 @@
         caller.read_response().is_none(),
         "the connection ends after the responses"
     );
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
 }
 
@@ -89,10 +89,10 @@
     idle.write_all(request("post", LONG_BUDGET, "crossing").as_bytes())
         .unwrap();
     idle.shutdown(Shutdown::Write).unwrap();
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
-    let after = idle.read(&mut [0; 1024]);
-    assert!(matches!(after, Ok(0)), "reset: {after:?}");
+    let read = idle.read(&mut [0; 1024]);
+    assert!(matches!(read, Ok(0)), "reset: {read:?}");
     assert!(idle.take_error().unwrap().is_none());
     assert_eq!(
         upstream.count_requests(),
@@ -105,21 +105,21 @@
 #[test]
 fn a_head_that_has_begun_may_be_completed() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("served")));
-    let (program, operators) =
+    let (program, admin) =
         Program::start_with_admin(&config(refused_address(), &in_service(&[&upstream])));
-    let whole = request("post", LONG_BUDGET, "b");
-    let (begin, rest) = whole.split_at(whole.len() / 2);
+    let request = request("post", LONG_BUDGET, "b");
+    let (beginning, rest) = request.split_at(request.len() / 2);
     let (mut caller, mut other) = (program.connect(), program.connect());
-    caller.write(begin);
+    caller.write(beginning);
     assert_eq!(other.call("look", LONG_BUDGET, "").unwrap().status(), 200);
-    terminate(&program, &operators);
+    terminate(&program, &admin);
     assert!(
         other.read_response().is_none(),
         "idle connections are closed"
     );
     caller.write(rest);
     assert_eq!(caller.read_response().expect("an answer").body, b"served");
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
 }
 
@@ -128,21 +128,21 @@
 fn further_signals_while_draining_change_nothing() {
     let (upstream, release) = delaying_upstream();
     let before = config(refused_address(), &in_service(&[&upstream]));
-    let (program, operators) = Program::start_with_admin(&before);
+    let (program, admin) = Program::start_with_admin(&before);
     let mut caller = program.connect();
     caller.send("post", LONG_BUDGET, "held");
     upstream.request();
-    terminate(&program, &operators);
+    terminate(&program, &admin);
     program.reload("{");
     program.terminate();
     assert_eq!(
-        operators.get("/control/ready").status(),
+        admin.get("/control/ready").status(),
         503,
         "the program still drains"
     );
     release.send(()).unwrap();
     assert_eq!(caller.read_response().expect("an answer").body, b"held");
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
 }
 
@@ -157,10 +157,10 @@
     }
     let signal = Instant::now();
     program.terminate();
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
-    // The drain takes half a second for new connections and a second for requests that cross the close. The
-    // deadline of the classes is one minute.
+    // The daemon accepts new connections for half a second, and waits a second for requests that cross the close. The
+    // deadline of the classes, which is the time limit for responses, is one minute.
     assert!(
         signal.elapsed() < Duration::from_secs(20),
         "{:?}",
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Tests of the program over loopback sockets; each test guards against one failure of a balancer.
+//! Tests of the daemon over loopback sockets; each test guards against one failure of a balancer.
 
 mod common;
 
@@ -8,11 +8,13 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::http1::*;
 
-fn served_by(upstream: &Upstream) -> Program {
+/// Starts a program whose list contains one upstream.
+fn program_with(upstream: &Upstream) -> Program {
     Program::start(&config(refused_address(), &in_service(&[upstream])))
 }
 
-/// Returns a handler that reacts to the first request with `first` and serves all later requests.
+/// Returns a handler that reacts to the first request with `first`, and serves all later requests with the body
+/// `second`.
 fn react_once(first: Reaction) -> impl Fn(&Message) -> Reaction + Send + Sync {
     let count = AtomicUsize::new(0);
     move |_| match count.fetch_add(1, Ordering::Relaxed) {
@@ -24,7 +26,7 @@
 #[test]
 fn forwards_a_request_and_its_response_unchanged() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("the answer")));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let mut caller = program.connect();
     caller.write(&named_request(
         "9b1f03aa5c7e2d41",
@@ -37,12 +39,12 @@
         (answer.status(), &answer.body[..]),
         (200, &b"the answer"[..])
     );
-    let got = upstream.request();
-    assert_eq!(got.start_line, "POST /pay?x=1 HTTP/1.1");
-    assert_eq!(got.body, b"the body");
-    assert_eq!(got.headers["x-call-id"], "9b1f03aa5c7e2d41");
-    assert_eq!(got.headers["idempotency-key"], "5c0f6e1a");
-    let budget: f64 = got.headers["x-budget"].parse().unwrap();
+    let forwarded = upstream.request();
+    assert_eq!(forwarded.start_line, "POST /pay?x=1 HTTP/1.1");
+    assert_eq!(forwarded.body, b"the body");
+    assert_eq!(forwarded.headers["x-call-id"], "9b1f03aa5c7e2d41");
+    assert_eq!(forwarded.headers["idempotency-key"], "5c0f6e1a");
+    let budget: f64 = forwarded.headers["x-budget"].parse().unwrap();
     assert!(
         budget > 0.0 && budget < 12.5,
         "the forwarded budget is {budget}"
@@ -52,7 +54,7 @@
 #[test]
 fn reuses_a_connection() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let mut caller = program.connect();
     for _ in 0..20 {
         assert_eq!(caller.call("post", LONG_BUDGET, "b").unwrap().status(), 200);
@@ -68,7 +70,7 @@
 #[test]
 fn does_not_write_to_a_connection_that_its_upstream_closed() {
     let upstream = Upstream::start(|_| Reaction::RespondAndClose(ok_response("")));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let mut caller = program.connect();
     for _ in 0..50 {
         assert_eq!(caller.call("post", LONG_BUDGET, "b").unwrap().status(), 200);
@@ -80,10 +82,10 @@
 fn does_not_retry_a_non_idempotent_request_that_may_have_run() {
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-    let vague = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    for first in ["", partial, error, vague] {
+    let ambiguous = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    for first in ["", partial, error, ambiguous] {
         let upstream = Upstream::start(react_once(Reaction::RespondAndClose(first.into())));
-        let program = served_by(&upstream);
+        let program = program_with(&upstream);
         let answer = program.call("post");
         assert!(
             ![200, 429, 503].contains(&answer.status()),
@@ -99,7 +101,7 @@
     let partial = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part";
     for first in ["", partial] {
         let upstream = Upstream::start(react_once(Reaction::RespondAndClose(first.into())));
-        let answer = served_by(&upstream).call("pay");
+        let answer = program_with(&upstream).call("pay");
         assert_eq!(
             (answer.status(), &answer.body[..]),
             (200, &b"second"[..]),
@@ -112,9 +114,9 @@
 fn retries_a_non_idempotent_request_that_never_ran() {
     let upstream = Upstream::start(react_once(Reaction::Respond(overloaded_response())));
     assert_eq!(
-        served_by(&upstream).call("post").status(),
+        program_with(&upstream).call("post").status(),
         200,
-        "turned away, then served"
+        "rejected, then retried and served"
     );
 
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
@@ -135,7 +137,7 @@
 #[test]
 fn rejects_with_retry_after_when_all_upstreams_reject() {
     let upstream = Upstream::start(|_| Reaction::Respond(overloaded_response()));
-    let answer = served_by(&upstream).call("post");
+    let answer = program_with(&upstream).call("post");
     assert_eq!(answer.status(), 503);
     let retry_after_s: f64 = answer.headers["retry-after"].parse().unwrap();
     assert!(retry_after_s > 0.0 && retry_after_s <= 1.0);
@@ -144,12 +146,12 @@
 #[test]
 fn responds_in_time_where_an_upstream_is_unresponsive() {
     let upstream = Upstream::start(|_| Reaction::Stall);
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let started = Instant::now();
     let answer = program
         .connect()
         .call("post", "0.300", "b")
-        .expect("an answer, not an end");
+        .expect("a response before the connection ends");
     assert_eq!(answer.status(), 502);
     assert!(
         started.elapsed() >= Duration::from_millis(300),
@@ -162,7 +164,7 @@
 #[test]
 fn cancels_the_attempt_of_a_caller_that_disconnected() {
     let upstream = Upstream::start(|_| Reaction::Stall);
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let mut caller = program.connect();
     caller.send("post", LONG_BUDGET, "b");
     upstream.request();
@@ -173,7 +175,7 @@
 #[test]
 fn responds_to_bad_requests_itself() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let good = named_request("9b1f03aa5c7e2d41", "pay", "1.0", "body");
     let cases = [
         (good.replace("X-Budget: 1.0\r\n", ""), 400),
@@ -231,7 +233,7 @@
 #[test]
 fn rejects_a_request_with_both_lengths() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let hidden = format!("0\r\n\r\n{}", request("post", LONG_BUDGET, "hidden"));
     let plain = request("pay", LONG_BUDGET, "");
     let (length, chunked) = (
@@ -267,7 +269,7 @@
 #[test]
 fn disconnects_callers_that_never_complete_a_request() {
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let good = request("pay", LONG_BUDGET, "body");
     let head = good.split("X-Budget").next().unwrap();
     let cases = [
@@ -276,15 +278,15 @@
         &good[..good.len() - 2],
         &good.replace("Content-Length: 4", "Content-Length: 5"),
     ];
-    for begun in cases {
+    for incomplete in cases {
         let mut caller = program.connect();
-        caller.write(begun);
+        caller.write(incomplete);
         // The program must answer with an error or close the connection instead of waiting for the rest.
         assert!(
             caller
                 .read_response()
                 .is_none_or(|answer| answer.status() == 408),
-            "{begun:?}"
+            "{incomplete:?}"
         );
     }
     let mut caller = program.connect();
@@ -329,22 +331,25 @@
 #[test]
 fn rejects_a_second_request_with_an_open_id() {
     let upstream = Upstream::start(|_| Reaction::Stall);
-    let program = served_by(&upstream);
-    let same = named_request("9b1f03aa5c7e2d41", "post", LONG_BUDGET, "b");
-    let asking = || {
+    let program = program_with(&upstream);
+    let request = named_request("9b1f03aa5c7e2d41", "post", LONG_BUDGET, "b");
+    let send_on_new_connection = || {
         let mut caller = program.connect();
-        caller.write(&same);
+        caller.write(&request);
         caller
     };
-    let first = asking();
+    let first = send_on_new_connection();
     upstream.request();
-    assert_eq!(asking().read_response().unwrap().status(), 409);
+    assert_eq!(
+        send_on_new_connection().read_response().unwrap().status(),
+        409
+    );
     drop(first);
     upstream.wait_until_closed();
-    let _third = asking();
+    let _third = send_on_new_connection();
     upstream.request(); // the id is free again
     let mut caller = program.connect();
-    caller.write(&same.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
+    caller.write(&request.replace("X-Budget", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Budget"));
     assert_eq!(caller.read_response().unwrap().status(), 400);
 }
 
@@ -356,7 +361,7 @@
         true => Reaction::Respond(ok_response("quick")),
         false => Reaction::Stall,
     });
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let mut caller = program.connect();
     let requests = [("1.0", "slow"), ("0.2", "quick"), (LONG_BUDGET, "quick")];
     caller.write(
@@ -382,10 +387,10 @@
 }
 
 #[test]
-fn takes_a_body_of_the_largest_size() {
+fn forwards_a_request_body_and_a_response_body_of_64_kib() {
     let upstream =
         Upstream::start(|message| Reaction::Respond(ok_response(&"a".repeat(message.body.len()))));
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let answer = program
         .connect()
         .call("post", LONG_BUDGET, &"b".repeat(64 << 10))
@@ -400,7 +405,7 @@
         (32 << 20) + 1
     );
     let upstream = Upstream::start(move |_| Reaction::Respond(head.clone() + &"a".repeat(100_000)));
-    assert_eq!(served_by(&upstream).call("post").status(), 502);
+    assert_eq!(program_with(&upstream).call("post").status(), 502);
 }
 
 #[test]
@@ -408,14 +413,14 @@
     let upstream = Upstream::start(|_| Reaction::Respond(ok_response("")));
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &[]));
-    let ready = || {
+    let health_status = || {
         let mut caller = program.connect();
         caller.write("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
         caller.read_response().unwrap().status()
     };
-    assert_eq!(ready(), 503);
+    assert_eq!(health_status(), 503);
     discovery.publish(&in_service(&[&upstream]));
-    assert_eq!(ready(), 200);
+    assert_eq!(health_status(), 200);
     assert_eq!(program.call("post").status(), 200);
 }
 
@@ -467,17 +472,17 @@
     let discovery = Discovery::start();
     let program = Program::start(&config(discovery.address, &in_service(&[&upstream])));
     let publish = |round: usize| {
-        let uid = |at: usize| format!("s-{round}-{at}-{}", "x".repeat(200));
+        let uid = |number: usize| format!("s-{round}-{number}-{}", "x".repeat(200));
         let fleet: Vec<String> = (0..300)
-            .map(|at| target(&uid(at), upstream.address, "in_service"))
+            .map(|number| target(&uid(number), upstream.address, "in_service"))
             .collect();
         discovery.publish(&fleet);
         assert_eq!(program.call("post").status(), 200);
     };
     (0..20).for_each(publish);
-    let before = program.resident_memory_kib();
+    let before_kib = program.resident_memory_kib();
     (20..120).for_each(publish);
-    let growth_kib = program.resident_memory_kib().saturating_sub(before);
+    let growth_kib = program.resident_memory_kib().saturating_sub(before_kib);
     assert!(
         growth_kib < 8 << 10,
         "{growth_kib} KiB more after 30,000 upstreams"
@@ -487,21 +492,21 @@
 /// Guards against surplus bytes after a response: the balancer must not use them as the response to the next request.
 #[test]
 fn does_not_take_a_response_for_that_of_another_request() {
-    for more in [ok_response("stale"), "noise".into()] {
-        let together = ok_response("first") + &more;
+    for surplus in [ok_response("stale"), "noise".into()] {
+        let response_with_surplus = ok_response("first") + &surplus;
         for first in [
-            Reaction::Respond(together),
-            Reaction::RespondWithSurplus(ok_response("first"), more),
+            Reaction::Respond(response_with_surplus),
+            Reaction::RespondWithSurplus(ok_response("first"), surplus),
         ] {
-            let apart = matches!(first, Reaction::RespondWithSurplus(..));
+            let is_surplus_delayed = matches!(first, Reaction::RespondWithSurplus(..));
             let upstream = Upstream::start(react_once(first));
-            let program = served_by(&upstream);
+            let program = program_with(&upstream);
             let mut caller = program.connect();
             assert_eq!(
                 caller.call("post", LONG_BUDGET, "b").unwrap().body,
                 b"first"
             );
-            if apart {
+            if is_surplus_delayed {
                 upstream.wait_until_surplus_written();
             }
             assert_eq!(
@@ -525,7 +530,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_owned();
     for malformed in [endless, huge, chunks, "noise\r\n\r\n".to_owned()] {
         let upstream = Upstream::start(react_once(Reaction::Respond(malformed.clone())));
-        let program = served_by(&upstream);
+        let program = program_with(&upstream);
         assert_eq!(program.call("post").status(), 502, "{}", &malformed[..20]);
         upstream.wait_until_closed();
         assert_eq!(
@@ -537,7 +542,7 @@
     }
     let valid = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Load-Report: {{\r\nContent-Length: 2\r\n\r\nok";
     let upstream = Upstream::start(move |_| Reaction::Respond(valid.into()));
-    assert_eq!(served_by(&upstream).call("post").body, b"ok");
+    assert_eq!(program_with(&upstream).call("post").body, b"ok");
 }
 
 /// Guards against client errors that count as failures of the upstream, and against retries of such requests.
@@ -549,7 +554,7 @@
         }
         false => Reaction::Respond(ok_response("")),
     });
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     for _ in 0..12 {
         let answer = program.connect().call("pay", LONG_BUDGET, "bad").unwrap();
         assert_eq!((answer.status(), &answer.body[..]), (422, &b"why"[..]));
@@ -694,7 +699,7 @@
         }
         Reaction::Respond(ok_response(""))
     });
-    let program = served_by(&upstream);
+    let program = program_with(&upstream);
     let (mut busy, mut open, mut idle) = (program.connect(), program.connect(), program.connect());
     for caller in [&mut open, &mut idle] {
         assert_eq!(caller.call("look", LONG_BUDGET, "").unwrap().status(), 200);
@@ -704,24 +709,25 @@
     let signal = Instant::now();
     program.terminate();
     let served = |answer: Option<Message>| answer.is_some_and(|answer| answer.status() == 200);
-    let mut on_new = true;
+    let mut new_connections_served = true;
     let last = open.call("look", LONG_BUDGET, "");
-    let on_open = last
-        .as_ref()
-        .is_some_and(|last| last.headers.get("connection").is_some_and(|c| c == "close"));
-    let on_open = on_open && served(last) && open.read_response().is_none();
+    let announces_close = last.as_ref().is_some_and(|last| {
+        let connection = last.headers.get("connection");
+        connection.is_some_and(|value| value == "close")
+    });
+    let open_connection_served = announces_close && served(last) && open.read_response().is_none();
     while signal.elapsed() < Duration::from_millis(300) {
-        on_new &= program
+        new_connections_served &= program
             .try_connect()
             .is_some_and(|mut caller| served(caller.call("look", LONG_BUDGET, "")));
     }
     let is_conclusive = signal.elapsed() < Duration::from_millis(400);
     assert!(
-        !is_conclusive || on_new,
+        !is_conclusive || new_connections_served,
         "new connections are still accepted"
     );
     assert!(
-        !is_conclusive || on_open,
+        !is_conclusive || open_connection_served,
         "open connections are served, and end with that response"
     );
     assert!(
@@ -733,7 +739,7 @@
         busy.read_response().expect("the delayed response").status(),
         200
     );
-    let (status, log) = program.end();
+    let (status, log) = program.wait_for_exit();
     assert!(status.success(), "{log}");
     is_conclusive
 }
@@ -741,25 +747,25 @@
 #[test]
 fn names_the_invalid_field_of_its_configuration() {
     let good = config(refused_address(), &[]);
-    let break_at = |path: &str, value: serde_json::Value| {
+    let with_value = |path: &str, value: serde_json::Value| {
         let mut config = good.clone();
         *config.pointer_mut(path).unwrap() = value;
         config.to_string()
     };
     let cases = [
-        (break_at("/listen", "here".into()), "listen"),
-        (break_at("/discovery", "there".into()), "discovery"),
-        (break_at("/seed", "dice".into()), "seed"),
-        (break_at("/limits/sockets", 3.into()), "sockets"),
-        (break_at("/limits/memory_mb", 1.into()), "memory_mb"),
-        (break_at("/settings/Zones", 3.into()), "Zones"),
-        (break_at("/settings/Zone", 7.into()), "zone"),
+        (with_value("/listen", "here".into()), "listen"),
+        (with_value("/discovery", "there".into()), "discovery"),
+        (with_value("/seed", "dice".into()), "seed"),
+        (with_value("/limits/sockets", 3.into()), "sockets"),
+        (with_value("/limits/memory_mb", 1.into()), "memory_mb"),
+        (with_value("/settings/Zones", 3.into()), "Zones"),
+        (with_value("/settings/Zone", 7.into()), "zone"),
         (
-            break_at("/settings/Classes", serde_json::json!([])),
+            with_value("/settings/Classes", serde_json::json!([])),
             "classes",
         ),
         (
-            break_at("/settings/Limits/TryLimit", "six".into()),
+            with_value("/settings/Limits/TryLimit", "six".into()),
             "TryLimit",
         ),
         (
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -22,23 +22,23 @@
 /// The forwarded budget must exclude the time until the connection is established.
 #[test]
 fn the_budget_is_that_at_the_first_byte() {
-    let mut late = StalledListener::start();
+    let mut listener = StalledListener::start();
     let program = Program::start(&config(
         refused_address(),
-        &[target("s-0", late.address(), "in_service")],
+        &[target("s-0", listener.address(), "in_service")],
     ));
     let mut caller = program.connect();
     caller.send("look", "20", "");
-    late.wait_until_connecting();
+    listener.wait_until_connecting();
     let connecting_since = Instant::now();
-    let stream = late.accept(SYN_RETRANSMISSION).expect("the connection");
-    let took = connecting_since.elapsed();
+    let stream = listener.accept(SYN_RETRANSMISSION).expect("the connection");
+    let connect_time = connecting_since.elapsed();
     let request = Message::read(&mut BufReader::new(stream)).expect("the request");
     let forwarded_budget_s: f64 = request.headers["x-budget"].parse().unwrap();
     // Half of the time as tolerance, since the accepting side may see the connection late.
     assert!(
-        forwarded_budget_s <= 20.0 - took.as_secs_f64() / 2.0,
-        "budget {forwarded_budget_s} after {took:?}"
+        forwarded_budget_s <= 20.0 - connect_time.as_secs_f64() / 2.0,
+        "budget {forwarded_budget_s} after {connect_time:?}"
     );
 }
 
@@ -46,20 +46,20 @@
 #[test]
 fn no_attempt_begins_for_a_caller_that_disconnected_while_connecting() {
     for cancelling in [true, false] {
-        let mut late = StalledListener::start();
+        let mut listener = StalledListener::start();
         let mut config = config(
             refused_address(),
-            &[target("s-0", late.address(), "in_service")],
+            &[target("s-0", listener.address(), "in_service")],
         );
         config["settings"]["Limits"]["Cancelling"] = cancelling.into();
         let program = Program::start(&config);
         let mut caller = program.connect();
         caller.send("post", LONG_BUDGET, "b");
-        late.wait_until_connecting();
+        listener.wait_until_connecting();
         drop(caller);
-        late.wait_until_connect_abandoned(CONNECT_TIMEOUT / 2);
+        listener.wait_until_connect_abandoned(CONNECT_TIMEOUT / 2);
         assert!(
-            late.accept(OBSERVATION_TIME).is_none(),
+            listener.accept(OBSERVATION_TIME).is_none(),
             "cancelling {cancelling}"
         );
     }
@@ -76,7 +76,7 @@
         may_close.wait();
         Reaction::RespondAndClose(String::new())
     });
-    let mut late = StalledListener::start();
+    let mut listener = StalledListener::start();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &in_service(&[&first]));
     // Shorter than the interval after which the kernel retransmits a SYN (so that the connection is established after
@@ -88,10 +88,10 @@
     let mut caller = program.connect();
     caller.send("pay", LONG_BUDGET, "b");
     first_received.wait();
-    discovery.publish(&[target("s-1", late.address(), "in_service")]);
+    discovery.publish(&[target("s-1", listener.address(), "in_service")]);
     first_may_close.wait();
-    late.wait_until_connecting();
-    let request = late
+    listener.wait_until_connecting();
+    let request = listener
         .accept(SYN_RETRANSMISSION)
         .and_then(|stream| Message::read(&mut BufReader::new(stream)));
     assert!(
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -62,7 +62,7 @@
 }
 
 /// Makes two calls, which go to the two upstreams in turn; returns the number of successful calls.
-fn served_of_two(pair: &Pair, class: &str, body: &str) -> usize {
+fn successes_of_two_calls(pair: &Pair, class: &str, body: &str) -> usize {
     let call = |_| {
         pair.program
             .connect()
@@ -73,13 +73,13 @@
     (0..2).map(call).filter(|status| *status == 200).count()
 }
 
-/// Asserts that the balancer treats a request as possibly executed if an upstream handles its connections with `handle`:
-/// a non-idempotent request fails, and a request with an idempotency key is retried.
+/// Asserts that the balancer treats a request as possibly executed if an upstream handles its connections with
+/// `handle`: a non-idempotent request fails, and a request with an idempotency key is retried.
 fn assert_possibly_executed(handle: impl Fn(TcpStream) + Clone + Send + 'static) {
     for (class, served) in [("post", 1), ("pay", 2)] {
         let (first, connected) = raw_upstream(handle.clone());
         let pair = Pair::start(first);
-        assert_eq!(served_of_two(&pair, class, ""), served, "{class}");
+        assert_eq!(successes_of_two_calls(&pair, class, ""), served, "{class}");
         connected
             .recv_timeout(TEST_TIMEOUT)
             .expect("the first upstream got a connection");
@@ -88,8 +88,8 @@
 }
 
 /// Asserts that the balancer writes nothing to a connection, if it establishes one within the time `within`.
-fn assert_nothing_written(late: &mut StalledListener, within: Duration) {
-    if let Some(mut stream) = late.accept(within) {
+fn assert_nothing_written(listener: &mut StalledListener, within: Duration) {
+    if let Some(mut stream) = listener.accept(within) {
         let mut received = Vec::new();
         stream.read_to_end(&mut received).unwrap_or(0);
         assert!(
@@ -110,7 +110,7 @@
     let pair = Pair::start(first);
     let body = "b".repeat(16 << 20); // more than the buffers of both sockets
     assert_eq!(
-        served_of_two(&pair, "post", &body),
+        successes_of_two_calls(&pair, "post", &body),
         2,
         "a non-idempotent request is retried"
     );
@@ -170,34 +170,34 @@
 /// connection.
 #[test]
 fn a_connection_established_too_late_is_not_written_to() {
-    let mut late = StalledListener::start();
-    let pair = Pair::start(late.address());
-    assert_eq!(served_of_two(&pair, "post", "b"), 2);
+    let mut listener = StalledListener::start();
+    let pair = Pair::start(listener.address());
+    assert_eq!(successes_of_two_calls(&pair, "post", "b"), 2);
     assert_eq!(pair.second.count_requests(), 2);
-    assert_nothing_written(&mut late, Duration::from_secs(3));
+    assert_nothing_written(&mut listener, Duration::from_secs(3));
 }
 
 /// An upstream begins to drain while the balancer connects to it; the balancer must write nothing to the connection.
 #[test]
 fn no_attempt_begins_at_an_upstream_that_drains_while_connecting() {
-    let mut late = StalledListener::start();
+    let mut listener = StalledListener::start();
     let other = Upstream::start(|_| Reaction::Respond(ok_response("other")));
     let discovery = Discovery::start();
     let config = config(
         discovery.address,
-        &[target("s-late", late.address(), "in_service")],
+        &[target("s-late", listener.address(), "in_service")],
     );
-    discovery.set(&[target("s-late", late.address(), "in_service")]);
+    discovery.set(&[target("s-late", listener.address(), "in_service")]);
     let program = Program::start(&config);
     discovery.wait_until_watched();
     let mut caller = program.connect();
     caller.send("post", LONG_BUDGET, "b");
-    late.wait_until_connecting();
+    listener.wait_until_connecting();
     discovery.publish(&[
-        target("s-late", late.address(), "terminating"),
+        target("s-late", listener.address(), "terminating"),
         target("s-other", other.address, "in_service"),
     ]);
-    assert_nothing_written(&mut late, Duration::from_secs(8));
+    assert_nothing_written(&mut listener, Duration::from_secs(8));
     assert_eq!(caller.read_response().expect("an answer").body, b"other");
 }
 
@@ -214,15 +214,15 @@
     address
 }
 
-fn respond_with_duplicates(number: usize, stream: TcpStream) {
+fn respond_with_duplicates(connection: usize, stream: TcpStream) {
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
-    for before in 0.. {
+    for previous_requests in 0.. {
         let Some(request) = Message::read(&mut input) else {
             return;
         };
         let answer = ok_response(&String::from_utf8_lossy(&request.body));
-        let text = match (number, before) {
+        let text = match (connection, previous_requests) {
             (0, 0) => answer + "more than belongs to it",
             (_, 0) => answer,
             _ => ok_response("the answer to the request before") + &answer,
@@ -249,18 +249,19 @@
     );
     // On a busy machine, the second call may come after the idle time; such an attempt is inconclusive.
     let is_conclusive = (0..200).any(|_| {
-        // After this time, all connections have been idle long enough, and their duplicate responses close them in turn.
+        // After this time, all connections have been idle long enough, and their duplicate responses close them in
+        // turn.
         std::thread::sleep(IDLE_TIME * 2);
         let started = Instant::now();
-        let one = caller.call("post", LONG_BUDGET, "one").unwrap();
-        let two = caller.call("post", LONG_BUDGET, "two").unwrap();
+        let first = caller.call("post", LONG_BUDGET, "one").unwrap();
+        let second = caller.call("post", LONG_BUDGET, "two").unwrap();
         let is_conclusive = started.elapsed() < IDLE_TIME;
         assert!(
-            !is_conclusive || two.body == b"two",
+            !is_conclusive || second.body == b"two",
             "{}",
-            String::from_utf8_lossy(&two.body)
+            String::from_utf8_lossy(&second.body)
         );
-        is_conclusive && one.body == b"one"
+        is_conclusive && first.body == b"one"
     });
     assert!(is_conclusive, "no attempt was fast enough");
 }
