--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,6 +1,5 @@
-//! Tests of a front against upstreams that violate the protocol, on real sockets: each client must get
-//! only the response to its own request, and each non-idempotent request must be sent at most once. Each
-//! test provokes one way in which the data of one request could reach another request.
+//! Tests of a front with upstreams that violate the protocol or fail, on real sockets: each client must get only the
+//! response to its own request, and each non-idempotent request must be sent at most once.
 
 #[path = "common/program.rs"]
 mod program;
@@ -75,7 +74,8 @@
         }
     }
 
-    fn next(&self) -> TcpStream {
+    /// Returns the next connection that the front opens.
+    fn accept(&self) -> TcpStream {
         self.connections
             .recv_timeout(TEST_TIMEOUT)
             .expect("the front opens a connection")
@@ -118,11 +118,11 @@
 fn a_delayed_second_response_is_recognized_by_its_id() {
     let system = system(5_000, 1);
     let front = system.front(0);
-    let raw = ManualUpstream::start();
-    system.register(0, "i-1", "s", raw.address, 0);
+    let upstream = ManualUpstream::start();
+    system.register(0, "i-1", "s", upstream.address, 0);
     thread::scope(|scope| {
         let first = scope.spawn(|| post(front, "/once/1", "r-1", b"{}"));
-        let stream = raw.next();
+        let stream = upstream.accept();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let request = Message::read(&mut input).unwrap();
         (&stream)
@@ -132,9 +132,9 @@
         // The front sends the next request on the same connection, and the upstream responds with a second
         // response to the first request.
         let second = scope.spawn(|| post(front, "/once/1", "r-2", b"{}"));
-        let next = Message::read(&mut input);
+        let second_request = Message::read(&mut input);
         assert_eq!(
-            next.expect("the connection is kept").headers["request-id"],
+            second_request.expect("the connection is kept").headers["request-id"],
             "r-2"
         );
         (&stream)
@@ -155,13 +155,13 @@
     let system = system(5_000, 1);
     let front = system.front(0);
     let upstream = Upstream::start(|request| {
-        let whole = response(request, "own");
+        let valid = response(request, "own");
         let header = if request.headers["request-id"] == "r-1" {
             "Request-Id: r-1\r\n"
         } else {
             "Response-Stamp: stamp-r-2\r\n"
         };
-        Reaction::Respond(whole.replace(header, ""))
+        Reaction::Respond(valid.replace(header, ""))
     });
     system.register(0, "i-1", "s", upstream.address, 0);
     for id in ["r-1", "r-2"] {
@@ -179,12 +179,12 @@
     const BODY: usize = 3 << 20;
     let system = system(5_000, 1);
     let front = system.front(0);
-    let raw = ManualUpstream::start();
-    system.register(0, "i-1", "s", raw.address, 0);
+    let upstream = ManualUpstream::start();
+    system.register(0, "i-1", "s", upstream.address, 0);
     let body: Vec<u8> = (0..BODY).map(|position| (position % 251) as u8).collect();
     thread::scope(|scope| {
         let response_thread = scope.spawn(|| post(front, "/once/1", "r-1", &body));
-        let mut stream = raw.next();
+        let mut stream = upstream.accept();
         let mut head = Vec::new();
         let mut byte = [0];
         while !head.ends_with(b"\r\n\r\n") {
@@ -214,12 +214,12 @@
         let mut next_stream = if rest.len() == BODY {
             stream
         } else {
-            raw.next()
+            upstream.accept()
         };
         let request = match Message::read(&mut BufReader::new(next_stream.try_clone().unwrap())) {
             Some(request) => request,
             None => {
-                next_stream = raw.next();
+                next_stream = upstream.accept();
                 Message::read(&mut BufReader::new(next_stream.try_clone().unwrap())).unwrap()
             }
         };
@@ -235,12 +235,12 @@
 fn a_response_without_a_length_that_ends_with_a_reset_is_truncated() {
     let system = system(5_000, 1);
     let front = system.front(0);
-    let raw = ManualUpstream::start();
-    system.register(0, "i-1", "s", raw.address, 0);
+    let upstream = ManualUpstream::start();
+    system.register(0, "i-1", "s", upstream.address, 0);
     for (id, is_reset) in [("r-1", false), ("r-2", true)] {
         thread::scope(|scope| {
             let response_thread = scope.spawn(|| post(front, "/once/1", id, b"{}"));
-            let mut stream = raw.next();
+            let mut stream = upstream.accept();
             Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
             let head = format!(
                 "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Stamp: s\r\nConnection: close\r\n\r\nhalf"
@@ -278,20 +278,23 @@
 fn a_request_that_was_written_and_reset_is_retried_only_if_it_is_safe() {
     let system = system(5_000, 2);
     let front = system.front(0);
-    let (one, other) = (ManualUpstream::start(), ManualUpstream::start());
-    system.register(0, "i-1", "s", one.address, 0);
-    system.register(0, "i-2", "s", other.address, 0);
-    let sent = |path: &str| {
+    let upstreams = [ManualUpstream::start(), ManualUpstream::start()];
+    system.register(0, "i-1", "s", upstreams[0].address, 0);
+    system.register(0, "i-2", "s", upstreams[1].address, 0);
+    // Sends a request while both upstreams reset each connection after a request; returns the number of sent requests
+    // and the status of the response.
+    let requests_and_status = |path: &str| {
         thread::scope(|scope| {
             let (count, counted) = channel();
-            for raw in [&one, &other] {
-                let streams: Vec<TcpStream> = raw.connections.try_iter().collect();
+            for upstream in &upstreams {
+                let streams: Vec<TcpStream> = upstream.connections.try_iter().collect();
                 drop(streams);
             }
             let response_thread = scope.spawn(|| post(front, path, "r-1", b"{}"));
             while !response_thread.is_finished() {
-                for raw in [&one, &other] {
-                    let Ok(stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else {
+                for upstream in &upstreams {
+                    let Ok(stream) = upstream.connections.recv_timeout(Duration::from_millis(5))
+                    else {
                         continue;
                     };
                     if Message::read(&mut BufReader::new(stream.try_clone().unwrap())).is_some() {
@@ -307,8 +310,8 @@
             )
         })
     };
-    assert_eq!(sent("/once/1"), (1, 502));
-    assert_eq!(sent("/safe/1"), (2, 502));
+    assert_eq!(requests_and_status("/once/1"), (1, 502));
+    assert_eq!(requests_and_status("/safe/1"), (2, 502));
 }
 
 #[test]
@@ -317,14 +320,14 @@
     let front = system.front(0);
     let upstream = Upstream::start(|_| Reaction::Stall);
     system.register(0, "i-1", "s", upstream.address, 0);
-    let begin = Instant::now();
+    let began = Instant::now();
     let reply = post(front, "/once/1", "r-1", b"{}").expect("an answer");
-    let took = begin.elapsed();
+    let duration = began.elapsed();
     assert_eq!(reply.status(), 504);
     assert!(
-        took >= Duration::from_millis(650)
-            && took < Duration::from_millis(700) + CANCELLATION_TIMEOUT,
-        "{took:?}"
+        duration >= Duration::from_millis(650)
+            && duration < Duration::from_millis(700) + CANCELLATION_TIMEOUT,
+        "{duration:?}"
     );
     upstream.request();
     upstream.wait_until_closed();
@@ -335,15 +338,15 @@
 fn a_disconnected_client_cancels_its_request_and_its_stream() {
     let system = system(20_000, 2);
     let front = system.front(0);
-    let raw = ManualUpstream::start();
-    system.register(0, "i-1", "s", raw.address, 0);
+    let upstream = ManualUpstream::start();
+    system.register(0, "i-1", "s", upstream.address, 0);
     for (path, has_response_begun) in [("/safe/1", false), ("/stream/1", true)] {
         let mut client = TcpStream::connect(front).unwrap();
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r-1\r\nDeadline: 20000\r\nContent-Length: 0\r\n\r\n"
         );
         client.write_all(head.as_bytes()).unwrap();
-        let mut stream = raw.next();
+        let mut stream = upstream.accept();
         let request = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
         if has_response_begun {
             stream
@@ -354,19 +357,19 @@
         }
         client.shutdown(Shutdown::Both).unwrap();
         drop(client);
-        let left = Instant::now();
+        let disconnected = Instant::now();
         let mut rest = Vec::new();
         stream.read_to_end(&mut rest).ok();
         assert!(
-            left.elapsed() < CANCELLATION_TIMEOUT,
+            disconnected.elapsed() < CANCELLATION_TIMEOUT,
             "{path}: the upstream is notified after {:?}",
-            left.elapsed()
+            disconnected.elapsed()
         );
         assert!(
             rest.is_empty(),
             "{path}: bytes are sent after the disconnect"
         );
-        let retry = raw.connections.recv_timeout(CANCELLATION_TIMEOUT);
+        let retry = upstream.connections.recv_timeout(CANCELLATION_TIMEOUT);
         assert!(
             retry.is_err(),
             "{path}: the request is sent to an upstream again after its client has disconnected"
@@ -378,16 +381,17 @@
 fn the_remaining_deadline_is_forwarded_and_decreases_with_each_attempt() {
     let system = system(20_000, 2);
     let front = system.front(0);
-    let (one, other) = (ManualUpstream::start(), ManualUpstream::start());
-    system.register(0, "i-1", "s", one.address, 0);
-    system.register(0, "i-2", "s", other.address, 0);
+    let upstreams = [ManualUpstream::start(), ManualUpstream::start()];
+    system.register(0, "i-1", "s", upstreams[0].address, 0);
+    system.register(0, "i-2", "s", upstreams[1].address, 0);
     const PROCESSING_TIME: Duration = Duration::from_millis(400);
     let mut forwarded_deadlines_ms: Vec<u64> = Vec::new();
     thread::scope(|scope| {
         let response_thread = scope.spawn(|| post(front, "/safe/1", "r-1", b"{}"));
         while forwarded_deadlines_ms.len() < 2 {
-            for raw in [&one, &other] {
-                let Ok(mut stream) = raw.connections.recv_timeout(Duration::from_millis(5)) else {
+            for (position, upstream) in upstreams.iter().enumerate() {
+                let Ok(mut stream) = upstream.connections.recv_timeout(Duration::from_millis(5))
+                else {
                     continue;
                 };
                 let Some(request) = Message::read(&mut BufReader::new(stream.try_clone().unwrap()))
@@ -396,14 +400,10 @@
                 };
                 forwarded_deadlines_ms.push(request.headers["deadline"].parse().unwrap());
                 if forwarded_deadlines_ms.len() == 1 {
-                    let elsewhere = if raw.address == one.address {
-                        &other
-                    } else {
-                        &one
-                    };
-                    let sent_elsewhere = elsewhere.connections.recv_timeout(PROCESSING_TIME);
+                    let other_upstream = &upstreams[1 - position];
+                    let other_connection = other_upstream.connections.recv_timeout(PROCESSING_TIME);
                     assert!(
-                        sent_elsewhere.is_err(),
+                        other_connection.is_err(),
                         "no other upstream gets the request while the first one processes it"
                     );
                     reset(&stream);
--- a/tests/system.rs
+++ b/tests/system.rs
@@ -73,8 +73,8 @@
     let request = upstream.request();
     assert_eq!(request.start_line, "POST /safe/1?a=b HTTP/1.1");
     assert_eq!(request.headers["expect-instance"], "i-1");
-    let left: u64 = request.headers["deadline"].parse().unwrap();
-    assert!((3_000..=4_000).contains(&left), "{left}");
+    let remaining_ms: u64 = request.headers["deadline"].parse().unwrap();
+    assert!((3_000..=4_000).contains(&remaining_ms), "{remaining_ms}");
 
     // Another core server accepts a change that removes routes, and a stale change is rejected.
     system.configure(1, 3, &configuration(7, &all_routes()[..1]));
@@ -94,14 +94,14 @@
     system.configure(2, 7, &configuration(8, &all_routes()));
     assert_eq!(status(&system, "/once/1"), 200);
     system.start_core(0, false);
-    let read = loop {
-        let read = call(system.control(0), "GET", "/v1/config", "", b"");
-        if let Some(read) = read.filter(|read| read.status() == 200) {
-            break read;
+    let response = loop {
+        let response = call(system.control(0), "GET", "/v1/config", "", b"");
+        if let Some(response) = response.filter(|response| response.status() == 200) {
+            break response;
         }
     };
-    let read: Value = serde_json::from_slice(&read.body).unwrap();
-    assert_eq!(read, configuration(8, &all_routes()));
+    let read_configuration: Value = serde_json::from_slice(&response.body).unwrap();
+    assert_eq!(read_configuration, configuration(8, &all_routes()));
 
     let directory = call(
         system.directory(1),
@@ -140,19 +140,19 @@
 fn a_request_that_may_have_run_is_never_sent_again() {
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let one = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
-    let other = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
-    system.register(0, "i-1", "s", one.address, 0);
-    system.register(0, "i-2", "s", other.address, 0);
+    let first = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
+    let second = Upstream::start(|_| Reaction::RespondAndClose(String::new()));
+    system.register(0, "i-1", "s", first.address, 0);
+    system.register(0, "i-2", "s", second.address, 0);
     assert_eq!(
         status(&system, "/once/1"),
         502,
         "the request may have been executed"
     );
-    assert_eq!(one.count_requests() + other.count_requests(), 1);
+    assert_eq!(first.count_requests() + second.count_requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 502);
     assert_eq!(
-        one.count_requests() + other.count_requests(),
+        first.count_requests() + second.count_requests(),
         2,
         "a safe request is sent to two upstreams"
     );
@@ -169,9 +169,9 @@
         )
     });
     system.register(0, "i-1", "s", full.address, 0);
-    let refused = send_request(&system, "/once/1").expect("an answer");
-    assert_eq!(refused.status(), 503);
-    assert!(refused.headers.contains_key("retry-after"));
+    let rejection = send_request(&system, "/once/1").expect("an answer");
+    assert_eq!(rejection.status(), 503);
+    assert!(rejection.headers.contains_key("retry-after"));
     let free = Upstream::start(|request| Reaction::Respond(response(request, "hello")));
     system.register(0, "i-2", "s", free.address, 0);
     for _ in 0..4 {
@@ -206,14 +206,14 @@
     let error = |request: &Message| {
         Reaction::Respond(response(request, "broken").replace("200 OK", "500 Broken"))
     };
-    let (one, other) = (Upstream::start(error), Upstream::start(error));
-    system.register(0, "i-1", "s", one.address, 0);
-    system.register(0, "i-2", "s", other.address, 0);
+    let (first, second) = (Upstream::start(error), Upstream::start(error));
+    system.register(0, "i-1", "s", first.address, 0);
+    system.register(0, "i-2", "s", second.address, 0);
     assert_eq!(status(&system, "/once/1"), 500);
-    assert_eq!(one.count_requests() + other.count_requests(), 1);
+    assert_eq!(first.count_requests() + second.count_requests(), 1);
     assert_eq!(status(&system, "/safe/1"), 500);
     assert_eq!(
-        one.count_requests() + other.count_requests(),
+        first.count_requests() + second.count_requests(),
         2,
         "a safe request is sent to both upstreams"
     );
@@ -236,15 +236,16 @@
     const REST: [&str; 2] = ["id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"];
     let system = system();
     system.configure(0, 0, &configuration(1, &all_routes()));
-    let act = |request: &Message| match request.headers.get("last-event-id").map(String::as_str) {
+    let respond = |request: &Message| match request.headers.get("last-event-id").map(String::as_str)
+    {
         None => Reaction::RespondAndClose(events(request, &FIRST, false)),
         Some("2") => Reaction::Respond(events(request, &REST, true)),
         Some(other) => panic!("resumed after {other}"),
     };
-    let (one, other) = (Upstream::start(act), Upstream::start(act));
-    system.register(0, "i-1", "s", one.address, 0);
-    system.register(0, "i-2", "s", other.address, 0);
-    let reply = send_request(&system, "/stream/1").expect("a whole stream");
+    let (first, second) = (Upstream::start(respond), Upstream::start(respond));
+    system.register(0, "i-1", "s", first.address, 0);
+    system.register(0, "i-2", "s", second.address, 0);
+    let reply = send_request(&system, "/stream/1").expect("a complete stream");
     let expected = ["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", REST[0], REST[1]].concat();
     assert_eq!(String::from_utf8_lossy(&reply.body), expected);
 }
@@ -261,7 +262,7 @@
     system.register(0, "i-1", "s", upstream.address, 0);
     assert!(
         send_request(&system, "/stream/1").is_none(),
-        "a stream without its end"
+        "the client can detect the truncation"
     );
 }
 
@@ -275,29 +276,29 @@
     system.register(1, "i-2", "s", far.address, 1);
     let body = |system: &System| send_request(system, "/safe/1").expect("an answer").body;
     assert_eq!(body(&system), b"near");
-    let order = |method: &str| {
-        let done =
+    let set_evacuation = |method: &str| {
+        let answer =
             call(system.control(2), method, "/v1/evacuations/zone-0", "", b"").expect("an answer");
-        assert_eq!(done.status(), 200);
+        assert_eq!(answer.status(), 200);
         system
             .front_process(0)
             .wait_for("evacuations_applied zones=");
     };
-    order("POST");
+    set_evacuation("POST");
     assert_eq!(body(&system), b"far");
-    order("DELETE");
+    set_evacuation("DELETE");
     assert_eq!(body(&system), b"near");
     let draining = json!({
         "service": "s", "address": near.address, "zone": "zone-0", "capacity": 8, "state": "draining", "sequence": 2,
     });
-    let done = call(
+    let answer = call(
         system.control(0),
         "PUT",
         "/v1/instances/i-1",
         "",
         draining.to_string().as_bytes(),
     );
-    assert_eq!(done.expect("an answer").status(), 200);
+    assert_eq!(answer.expect("an answer").status(), 200);
     system
         .front_process(0)
         .wait_for("registration_applied upstream=i-1");
@@ -316,10 +317,10 @@
         .wait_for("settings_reloaded seeds=[127.0.0.1:1]");
     system.rewrite_settings("front-0", |settings| settings["seeds"] = json!("none"));
     system.front_process(0).signal("HUP");
-    let refused = system.front_process(0).wait_for("settings_rejected");
+    let log_line = system.front_process(0).wait_for("settings_rejected");
     assert!(
-        refused.contains("node.json") || refused.contains("front-0.json"),
-        "{refused}"
+        log_line.contains("node.json") || log_line.contains("front-0.json"),
+        "{log_line}"
     );
     system.front_process(0).wait_for("seeds: must be an array");
 }
