--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -19,7 +19,7 @@
 const CORES: u8 = 3;
 /// A client switches to another server after this time without a response.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most attempts of a call at one server until it is executed within `CALLER_TIMEOUT`.
+/// Maximum number of attempts of a call at one server until the call is executed within `CALLER_TIMEOUT`.
 const MAX_ATTEMPTS: usize = 3;
 /// Time limit for a group of servers to start and answer.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/coordination_soak.rs
+++ b/tests/coordination_soak.rs
@@ -54,7 +54,7 @@
 /// Time limit from the start of the system to its first executed call.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time limit, from the restart after the last fault, for reading back all acknowledged data.
-const RECOVERY: Duration = Duration::from_secs(15);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn env_variable<T: std::str::FromStr>(name: &str) -> Option<T> {
     std::env::var(name).ok()?.parse().ok()
@@ -128,7 +128,7 @@
     let caller = Caller::new(run.clone(), addresses, 0);
     let reader = Client::new("reader".to_owned(), run.clone(), caller, seed);
     if is_stable {
-        history.merge(reader.read_back(&history, started + RECOVERY));
+        history.merge(reader.read_back(&history, started + RECOVERY_TIMEOUT));
     }
     let recovery = started.elapsed();
     for violation in history.violations() {
@@ -143,8 +143,8 @@
         history.reads.len(),
         history.watches.len(),
     );
-    if let Some(verdict) = run.verdict() {
-        panic!("seed {seed}:\n{verdict}");
+    if let Some(report) = run.failure_report() {
+        panic!("seed {seed}:\n{report}");
     }
 }
 
--- a/tests/coordination_soak/client.rs
+++ b/tests/coordination_soak/client.rs
@@ -17,6 +17,7 @@
 pub const NUMBERS: u8 = 2;
 /// Number of key groups; a watch covers one group.
 pub const GROUPS: u8 = 3;
+/// Number of keys in each group.
 pub const KEYS_IN_GROUP: u8 = 4;
 /// A client gives up a call after this number of refusals.
 const MAX_REFUSALS: usize = 30;
@@ -24,7 +25,7 @@
 const MAX_FRACTION_BEFORE_RENEWAL: f64 = 0.95;
 /// How long the server keeps a watch open without events.
 const WATCH_WAIT: Duration = Duration::from_millis(500);
-/// How long after its receipt a revision must remain available as the start of a watch.
+/// Time after its receipt during which a revision must remain available as the start of a watch.
 const HISTORY_RETENTION: Duration = Duration::from_secs(20);
 
 /// A client with its own random generator and history.
@@ -41,8 +42,8 @@
 }
 
 /// Returns the name of a key in a group.
-pub fn key(group: u8, key: u8) -> String {
-    format!("g{group}.k{key}")
+pub fn key(group: u8, number: u8) -> String {
+    format!("g{group}.k{number}")
 }
 
 fn interval(answer: &Answer) -> Interval {
@@ -99,10 +100,10 @@
         for number in 0..NUMBERS {
             self.take_number(&format!("n{number}"), Some(until));
         }
-        for (group, at) in
-            (0..GROUPS).flat_map(|group| (0..KEYS_IN_GROUP).map(move |at| (group, at)))
-        {
-            self.read(key(group, at), Some(until));
+        for group in 0..GROUPS {
+            for number in 0..KEYS_IN_GROUP {
+                self.read(key(group, number), Some(until));
+            }
         }
         for group in 0..GROUPS {
             self.resume_watch(&format!("g{group}"), recorded, until);
@@ -250,7 +251,7 @@
             }
         };
         let received = self.run.now();
-        let is_read_elsewhere = self.random.bool();
+        let reads_from_other_server = self.random.bool();
         self.history.puts.push(Put {
             key: key.clone(),
             value,
@@ -258,7 +259,7 @@
             interval: Interval { sent, received },
             outcome,
         });
-        if is_read_elsewhere {
+        if reads_from_other_server {
             self.caller.switch_server();
             self.read(key, None);
         }
@@ -267,14 +268,14 @@
     fn watch_random(&mut self) {
         let group = format!("g{}", self.random.u8(0..GROUPS));
         let known = self.watched_revisions.get(&group).copied();
-        let (after, at) = known
-            .filter(|(_, at)| self.run.now() < *at + HISTORY_RETENTION / 2)
+        let (after, received) = known
+            .filter(|(_, received)| self.run.now() < *received + HISTORY_RETENTION / 2)
             .unwrap_or((0, self.run.now()));
-        self.watch(&group, after, at, None);
+        self.watch(&group, after, received, None);
     }
 
-    /// Watches a group from the revision `after`, which the client received at the time `at`.
-    fn watch(&mut self, group: &str, after: u64, at: Duration, until: Option<Instant>) {
+    /// Watches a group from the revision `after`, which the client received at the time `received`.
+    fn watch(&mut self, group: &str, after: u64, received: Duration, until: Option<Instant>) {
         let wait_ms = WATCH_WAIT.as_millis();
         let path = format!("/v1/watch/{group}.?after={after}&wait_ms={wait_ms}");
         let mut request = Request::new("GET", path, &Value::Null);
@@ -283,7 +284,7 @@
             return;
         };
         if answer.status != 200 {
-            if answer.received < at + HISTORY_RETENTION {
+            if answer.received < received + HISTORY_RETENTION {
                 self.run.report(format!("LOST: {request:?} got {answer:?}"));
             }
             return;
@@ -349,20 +350,20 @@
         self.history.leases.push(lease);
     }
 
-    /// Ends all recorded leases of this client on a lock at the time `at`.
-    fn end_leases(&mut self, lock: &str, at: Duration) {
+    /// Ends all recorded leases of this client on a lock at the time `end`, unless they have ended before.
+    fn end_leases(&mut self, lock: &str, end: Duration) {
         let leases = self.history.leases.iter_mut();
         for lease in leases.filter(|lease| lease.lock == lock) {
-            lease.until = lease.until.min(at);
+            lease.until = lease.until.min(end);
         }
     }
 
     /// Makes other calls for a random part of the remaining lease time, up to
     /// `MAX_FRACTION_BEFORE_RENEWAL`.
     fn call_until_renewal(&mut self, lease: &Lease) {
-        let left = lease.until.saturating_sub(self.run.now());
-        let part = left.mul_f64(self.random.f64() * MAX_FRACTION_BEFORE_RENEWAL);
-        self.call_until(self.run.now() + part);
+        let remaining = lease.until.saturating_sub(self.run.now());
+        let delay = remaining.mul_f64(self.random.f64() * MAX_FRACTION_BEFORE_RENEWAL);
+        self.call_until(self.run.now() + delay);
     }
 
     fn call_until(&mut self, time: Duration) {
--- a/tests/coordination_soak/cores.rs
+++ b/tests/coordination_soak/cores.rs
@@ -141,8 +141,10 @@
     pub fn wait_for_executed(&self, calls: u64, until: Instant) {
         let mut guard = self.disturbances();
         while self.executed() < calls && Instant::now() < until {
-            let time = until.saturating_duration_since(Instant::now());
-            let waited = self.changed.wait_timeout(guard, time.min(CHANGE_TIMEOUT));
+            let remaining = until.saturating_duration_since(Instant::now());
+            let waited = self
+                .changed
+                .wait_timeout(guard, remaining.min(CHANGE_TIMEOUT));
             guard = waited.expect("no thread panics while it holds the mutex").0;
         }
     }
@@ -157,26 +159,26 @@
 
     /// Records a violation with the time since the run began.
     pub fn report(&self, violation: String) {
-        let at_ms = self.began.elapsed().as_millis();
+        let time_ms = self.began.elapsed().as_millis();
         let mut violations = self
             .violations
             .lock()
             .expect("no thread panics while it holds the mutex");
-        violations.push(format!("{at_ms} ms: {violation}"));
+        violations.push(format!("{time_ms} ms: {violation}"));
     }
 
     /// Records an injected fault with the time since the run began.
     pub fn note_fault(&self, fault: &str) {
-        let at_ms = self.began.elapsed().as_millis();
+        let time_ms = self.began.elapsed().as_millis();
         let mut faults = self
             .faults
             .lock()
             .expect("no thread panics while it holds the mutex");
-        faults.push(format!("{at_ms} ms: {fault}"));
+        faults.push(format!("{time_ms} ms: {fault}"));
     }
 
     /// Lists all violations, followed by the injected faults; `None` if there are no violations.
-    pub fn verdict(&self) -> Option<String> {
+    pub fn failure_report(&self) -> Option<String> {
         let violations = self
             .violations
             .lock()
@@ -185,7 +187,7 @@
             .faults
             .lock()
             .expect("no thread panics while it holds the mutex");
-        let found = format!("{}\nfaults:\n{}", violations.join("\n"), faults.join("\n"));
-        (!violations.is_empty()).then_some(found)
+        let report = format!("{}\nfaults:\n{}", violations.join("\n"), faults.join("\n"));
+        (!violations.is_empty()).then_some(report)
     }
 }
--- a/tests/coordination_soak/faults.rs
+++ b/tests/coordination_soak/faults.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 use woadstall_mock_servers::system::{System, call};
 
-/// Number of executed calls between the beginnings of two faults.
+/// Range of the number of executed calls between the beginnings of two faults.
 const CALLS_BETWEEN_FAULTS: std::ops::Range<u64> = 20..400;
 /// The next fault begins after this time even if too few calls are executed.
 const FAULT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a server stays suspended by SIGSTOP, in milliseconds.
+/// Range of the time for which a server is suspended by SIGSTOP, in milliseconds.
 const SUSPENSION_MS: std::ops::Range<u64> = 300..4_000;
-/// How long a server stays down before its restart, in milliseconds.
+/// Range of the time for which a server is down before its restart, in milliseconds.
 const DOWNTIME_MS: std::ops::Range<u64> = 0..2_000;
-/// Most servers that are suspended or down at a time, except when all servers are killed at once.
+/// Maximum number of servers that are suspended or down at a time, except when all servers are killed at once.
 const MAX_DISTURBED: usize = 3;
 /// Time limit for the group members to become stable.
 const STABLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -29,14 +29,22 @@
     Start,
 }
 
+/// A fault on a server that lasts until the recovery action.
+#[derive(Clone, Copy, Debug)]
+struct ActiveFault {
+    core: u8,
+    recovery: Recovery,
+    /// Time at which the recovery is due.
+    due: Instant,
+}
+
 /// Injects faults into the processes of a system.
 pub struct Faults {
     pub system: System,
     run: Arc<Run>,
     random: Rng,
     cores: u8,
-    /// The servers under a fault, with the recovery action and its due time.
-    disturbed: Vec<(u8, Recovery, Instant)>,
+    active_faults: Vec<ActiveFault>,
 }
 
 impl Faults {
@@ -50,7 +58,7 @@
             run,
             random: Rng::with_seed(seed),
             cores,
-            disturbed: Vec::new(),
+            active_faults: Vec::new(),
         }
     }
 
@@ -81,14 +89,14 @@
     }
 
     fn next_recovery(&self) -> Option<Instant> {
-        self.disturbed.iter().map(|(.., due)| *due).min()
+        self.active_faults.iter().map(|fault| fault.due).min()
     }
 
     fn recover_due(&mut self, now: Instant) {
-        let is_due = |(.., due): &(u8, Recovery, Instant)| *due <= now;
-        let (due, waiting) = self.disturbed.iter().copied().partition(is_due);
-        self.disturbed = waiting;
-        for (core, recovery, _) in due {
+        let is_due = |fault: &ActiveFault| fault.due <= now;
+        let (due, waiting): (Vec<_>, Vec<_>) = self.active_faults.iter().copied().partition(is_due);
+        self.active_faults = waiting;
+        for ActiveFault { core, recovery, .. } in due {
             self.recover(core, recovery);
         }
     }
@@ -106,12 +114,12 @@
 
     fn begin_fault(&mut self) {
         let core = self.random.u8(0..self.cores);
-        let is_disturbed = |core: u8| move |(other, ..): &(u8, Recovery, Instant)| *other == core;
+        let is_same_core = |fault: &ActiveFault| fault.core == core;
         let kind = self.random.u8(0..16);
         if kind == 15 {
             self.kill_all();
-        } else if self.disturbed.len() >= MAX_DISTURBED
-            || self.disturbed.iter().any(is_disturbed(core))
+        } else if self.active_faults.len() >= MAX_DISTURBED
+            || self.active_faults.iter().any(is_same_core)
         {
             self.run
                 .note_fault("skipped: the server or too many servers are already under a fault");
@@ -128,7 +136,11 @@
 
     fn schedule_recovery(&mut self, core: u8, recovery: Recovery, duration_ms: u64) {
         let due = Instant::now() + Duration::from_millis(duration_ms);
-        self.disturbed.push((core, recovery, due));
+        self.active_faults.push(ActiveFault {
+            core,
+            recovery,
+            due,
+        });
     }
 
     fn terminate(&mut self, core: u8) {
@@ -197,7 +209,7 @@
             self.run.set_disturbed(core, true);
             self.system.kill_core(core);
         }
-        self.disturbed.clear();
+        self.active_faults.clear();
         for core in 0..self.cores {
             let duration_ms = self.random.u64(DOWNTIME_MS);
             self.schedule_recovery(core, Recovery::Start, duration_ms);
@@ -210,7 +222,7 @@
         let first = self.random.u8(0..self.cores);
         let second = (first + self.random.u8(1..self.cores)) % self.cores;
         self.kill_all();
-        self.disturbed.clear();
+        self.active_faults.clear();
         for core in [first, second] {
             self.run.note_fault(&format!("core-{core} loses its disk"));
             self.system.lose_disk(core);
@@ -238,7 +250,7 @@
     /// are in the quorum, and the voters listed by each server are as many as the voters that run with their
     /// disk.
     fn is_stable(&self) -> bool {
-        if !self.disturbed.is_empty() {
+        if !self.active_faults.is_empty() {
             return false;
         }
         let statuses: Option<Vec<Value>> = self.statuses().into_iter().collect();
--- a/tests/coordination_soak/history.rs
+++ b/tests/coordination_soak/history.rs
@@ -1,6 +1,13 @@
-//! The history that the clients record, and the checks of the rules ONE, ORDER, STALE, MIXED and
-//! REFUSED. The loss of acknowledged data (LOST) shows as a violation of ORDER or STALE in the calls
-//! that read the data back at the end of a run.
+//! The history that the clients record, and its checks against these rules:
+//!
+//! - ONE: a lock has at most one holder at a time, and its fencing tokens increase with each new holder.
+//! - ORDER: numbers and revisions increase, and a watch receives all puts of its group in order.
+//! - STALE: a read returns no older revision than an earlier put or read of the key.
+//! - MIXED: a value or revision belongs to the key that it was put under.
+//! - REFUSED: a rejected put has no effect.
+//!
+//! The loss of acknowledged data (LOST) shows as a violation of ORDER or STALE in the calls that read the data back at
+//! the end of a run.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Debug;
@@ -13,7 +20,7 @@
     pub received: Duration,
 }
 
-/// A lease as its holder sees it.
+/// A lease as its holder recorded it.
 #[derive(Clone, Debug)]
 pub struct Lease {
     pub lock: String,
@@ -124,8 +131,8 @@
         for leases in group_by(&self.leases, |lease| lease.lock.clone()).into_values() {
             let mut leases = leases;
             leases.sort_by_key(|lease| lease.acquired.received);
-            for (at, lease) in leases.iter().enumerate() {
-                let later = leases[at + 1..].iter();
+            for (position, lease) in leases.iter().enumerate() {
+                let later = leases[position + 1..].iter();
                 let overlapping = later
                     .take_while(|other| other.acquired.received < lease.until)
                     .filter(|other| other.holder != lease.holder);
@@ -158,10 +165,10 @@
 
     fn check_numbers(&self, found: &mut Vec<String>) {
         for numbers in group_by(&self.numbers, |number| number.name.clone()).into_values() {
-            let given = numbers
+            let issued = numbers
                 .iter()
                 .map(|number| (number.interval.received, number.value));
-            let maximum = RunningMaximum::new(given);
+            let maximum = RunningMaximum::new(issued);
             let mut values = HashSet::new();
             for number in numbers {
                 if maximum.before(number.interval.sent) >= Some(number.value) {
@@ -206,6 +213,7 @@
         entries
     }
 
+    /// Returns all entries that a put, a read or a watch returned.
     fn seen_entries(&self) -> impl Iterator<Item = Entry> {
         let acknowledged = self.puts.iter().filter_map(|put| match put.outcome {
             PutOutcome::Acknowledged { revision } => Some(Entry {
@@ -241,9 +249,9 @@
                     PutOutcome::Rejected {
                         current: Some(current @ 1..),
                     } => {
-                        let named = entries.get(&current);
-                        if named.is_some_and(|entry| entry.key != put.key) {
-                            report(found, "MIXED: a 412 with a foreign revision", (put, named));
+                        let entry = entries.get(&current);
+                        if entry.is_some_and(|entry| entry.key != put.key) {
+                            report(found, "MIXED: a 412 with a foreign revision", (put, entry));
                         }
                     }
                     _ => {}
@@ -266,16 +274,18 @@
             Some((read.key.clone(), read.interval.received, revision))
         });
         let known: Vec<_> = puts.chain(reads).collect();
-        let known: HashMap<String, RunningMaximum> = group_by(&known, |(key, ..)| key.clone())
+        let maxima: HashMap<String, RunningMaximum> = group_by(&known, |(key, ..)| key.clone())
             .into_iter()
             .map(|(key, seen)| {
-                let seen = seen.into_iter().map(|(_, at, revision)| (*at, *revision));
+                let seen = seen
+                    .into_iter()
+                    .map(|(_, received, revision)| (*received, *revision));
                 (key, RunningMaximum::new(seen))
             })
             .collect();
         for read in &self.reads {
             let revision = read.found.as_ref().map_or(0, |entry| entry.revision);
-            let maximum = known.get(&read.key);
+            let maximum = maxima.get(&read.key);
             let earlier = maximum.and_then(|maximum| maximum.before(read.interval.sent));
             if earlier > Some(revision) {
                 report(found, "STALE: a read of an old revision", (read, earlier));
@@ -358,7 +368,7 @@
 
     /// Returns the greatest number with a timestamp before `time`.
     fn before(&self, time: Duration) -> Option<u64> {
-        let count = self.0.partition_point(|(at, _)| *at < time);
+        let count = self.0.partition_point(|(timestamp, _)| *timestamp < time);
         Some(self.0.get(count.checked_sub(1)?)?.1)
     }
 }
