--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,5 @@
-//! The pages against the repository: links and paths lead somewhere, and each event that can be logged is explained.
+//! Tests of the documentation against the repository: links and paths must refer to existing files, and each log event
+//! must be documented.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,31 +9,31 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All files below a folder with this ending.
-fn files_below(folder: &Path, ending: &str) -> Vec<PathBuf> {
+/// Returns all files below a directory whose paths end with `suffix`.
+fn files_below(directory: &Path, suffix: &str) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in fs::read_dir(folder).unwrap() {
+    for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            files.extend(files_below(&path, ending));
-        } else if path.to_str().unwrap().ends_with(ending) {
+            files.extend(files_below(&path, suffix));
+        } else if path.to_str().unwrap().ends_with(suffix) {
             files.push(path);
         }
     }
     files
 }
 
-/// The pages: README, change log and all of `docs`.
+/// Returns the documentation: README, change log and all pages in `docs`.
 fn pages() -> Vec<PathBuf> {
     let mut pages = files_below(&root().join("docs"), ".md");
     pages.extend(["README.md", "CHANGELOG.md"].map(|name| root().join(name)));
     pages
 }
 
-/// What stands between each pair of these marks on one line.
-fn between<'a>(text: &'a str, open: &'a str, close: &'a str) -> Vec<&'a str> {
-    let after_marks = text.lines().flat_map(|line| line.split(open).skip(1));
-    after_marks
+/// Returns the texts between `open` and the next `close` on the same line.
+fn texts_between<'a>(text: &'a str, open: &'a str, close: &'a str) -> Vec<&'a str> {
+    let after_open = text.lines().flat_map(|line| line.split(open).skip(1));
+    after_open
         .filter_map(|rest| rest.split_once(close))
         .map(|(inside, _)| inside)
         .collect()
@@ -40,25 +41,29 @@
 
 #[test]
 fn links_lead_to_files() {
-    let mut dead = Vec::new();
+    let mut dead_links = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).unwrap();
-        for link in between(&text, "](", ")") {
+        for link in texts_between(&text, "](", ")") {
             let path = link.split('#').next().unwrap();
             let is_local = !path.is_empty() && !path.contains(':');
             if is_local && !page.parent().unwrap().join(path).exists() {
-                dead.push(format!("{}: {link}", page.display()));
+                dead_links.push(format!("{}: {link}", page.display()));
             }
         }
     }
-    assert!(dead.is_empty(), "dead links:\n{}", dead.join("\n"));
+    assert!(
+        dead_links.is_empty(),
+        "dead links:\n{}",
+        dead_links.join("\n")
+    );
 }
 
-/// Paths of the repository in code marks, save those with a blank, a wildcard or a placeholder. The change log tells of files
-/// that were.
+/// Checks the paths of the repository in code spans, except those with a blank, a wildcard or a placeholder. The change
+/// log is not checked, since it names files that no longer exist.
 #[test]
-fn paths_in_code_marks_exist() {
-    let folders = [
+fn paths_in_code_spans_exist() {
+    let directories = [
         "crates/",
         "docs/",
         "scripts/",
@@ -66,28 +71,34 @@
         "src/",
         "tests/",
     ];
-    let mut dead = Vec::new();
+    let mut missing = Vec::new();
     for page in pages() {
         if page.ends_with("CHANGELOG.md") {
             continue;
         }
         let text = fs::read_to_string(&page).unwrap();
-        for (number, mark) in text.split('`').enumerate() {
-            let is_path = folders.iter().any(|folder| mark.starts_with(folder));
-            let is_plain = !mark.contains([' ', '*', '<', '{', '…', '\n']);
-            // Texts between two marks are the odd ones.
-            if number % 2 == 1 && is_path && is_plain {
-                let path = mark.split(':').next().unwrap();
+        for (position, span) in text.split('`').enumerate() {
+            let is_path = directories
+                .iter()
+                .any(|directory| span.starts_with(directory));
+            let is_plain = !span.contains([' ', '*', '<', '{', '…', '\n']);
+            // The code spans, which stand between two backticks, are at the odd positions.
+            if position % 2 == 1 && is_path && is_plain {
+                let path = span.split(':').next().unwrap();
                 if !root().join(path).exists() {
-                    dead.push(format!("{}: {mark}", page.display()));
+                    missing.push(format!("{}: {span}", page.display()));
                 }
             }
         }
     }
-    assert!(dead.is_empty(), "paths of no file:\n{}", dead.join("\n"));
+    assert!(
+        missing.is_empty(),
+        "paths of missing files:\n{}",
+        missing.join("\n")
+    );
 }
 
-/// Sources of what runs in service: tests and the tools are left out.
+/// Returns the source files of the programs that run in service, without tests and tools.
 fn service_sources() -> Vec<PathBuf> {
     let tools = [
         "benchmarks",
@@ -102,28 +113,29 @@
     ];
     let mut sources = files_below(&root().join("src"), ".rs");
     for entry in fs::read_dir(root().join("crates")).unwrap() {
-        let folder = entry.unwrap().path();
-        if !tools.iter().any(|tool| folder.ends_with(tool)) {
-            sources.extend(files_below(&folder.join("src"), ".rs"));
+        let crate_directory = entry.unwrap().path();
+        if !tools.iter().any(|tool| crate_directory.ends_with(tool)) {
+            sources.extend(files_below(&crate_directory.join("src"), ".rs"));
         }
     }
     sources.retain(|source| !source.to_str().unwrap().contains("tests"));
     sources
 }
 
-/// The event at the beginning of a text: words of small letters that are joined by underscores, before a blank or the end.
+/// Returns the name of an event at the start of a text: lower-case words that are joined by underscores, followed by a
+/// blank or the end of the text.
 fn leading_event(text: &str) -> Option<&str> {
     let end = text
         .find(|letter: char| !letter.is_ascii_lowercase() && letter != '_')
         .unwrap_or(text.len());
-    let is_whole = matches!(text.as_bytes().get(end), None | Some(b' '));
-    (is_whole && text[..end].contains('_') && !text.starts_with('_')).then_some(&text[..end])
+    let is_complete = matches!(text.as_bytes().get(end), None | Some(b' '));
+    (is_complete && text[..end].contains('_') && !text.starts_with('_')).then_some(&text[..end])
 }
 
-/// Names of events in a source: at the beginning of a text that a macro of the log or of formatting writes, or alone as the
-/// value of `event`.
+/// Returns the names of events in a source file: at the start of the text of a logging or formatting macro, or as the
+/// value of a variable `event`.
 fn events_in(source: &str) -> BTreeSet<String> {
-    let writers = [
+    let macros = [
         "log::error!(",
         "log::warn!(",
         "log::info!(",
@@ -134,10 +146,13 @@
         "write!(",
     ];
     let mut events = BTreeSet::new();
-    for writer in writers {
-        for after in source.split(writer).skip(1) {
-            let after = after.trim_start();
-            let text = after.strip_prefix("f,").unwrap_or(after).trim_start();
+    for name in macros {
+        for arguments in source.split(name).skip(1) {
+            let arguments = arguments.trim_start();
+            let text = arguments
+                .strip_prefix("f,")
+                .unwrap_or(arguments)
+                .trim_start();
             let event = text
                 .strip_prefix('"')
                 .and_then(|text| leading_event(text.split('"').next().unwrap()));
@@ -159,12 +174,12 @@
         .collect();
     let page = fs::read_to_string(root().join("docs/log-events.md")).unwrap();
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
-    let explained: BTreeSet<String> = rows
+    let documented: BTreeSet<String> = rows
         .map(|row| row.split('`').next().unwrap().to_owned())
         .collect();
     let difference =
         |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect::<Vec<_>>();
     assert!(logged.len() > 50, "the sources were read: {logged:?}");
-    assert_eq!(difference(&logged, &explained), [""; 0], "not explained");
-    assert_eq!(difference(&explained, &logged), [""; 0], "logged nowhere");
+    assert_eq!(difference(&logged, &documented), [""; 0], "not documented");
+    assert_eq!(difference(&documented, &logged), [""; 0], "never logged");
 }
--- a/tests/golden_membership.rs
+++ b/tests/golden_membership.rs
@@ -13,28 +13,30 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-fn fixture(form: &str) -> String {
+/// Reads the golden file `name`.
+fn read_golden(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
-        .join(form);
+        .join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Asserts that a report equals its golden files as JSON and as text, and that parsing the JSON restores it.
-fn assert_golden_report(form: &str, report: &Report) {
+/// Asserts that a report equals its golden files as JSON and as text, and that parsing the JSON restores it. `name` is
+/// the name of the golden files without the suffix.
+fn assert_golden_report(name: &str, report: &Report) {
     let json = serde_json::to_string(report).unwrap();
     let mut text = Vec::new();
     membership_report::write(report, &mut text).unwrap();
-    assert_eq!(json, fixture(&format!("{form}.json")).trim(), "{form}");
+    assert_eq!(json, read_golden(&format!("{name}.json")).trim(), "{name}");
     assert_eq!(
         String::from_utf8(text).unwrap(),
-        fixture(&format!("{form}.txt")),
-        "{form}"
+        read_golden(&format!("{name}.txt")),
+        "{name}"
     );
     assert_eq!(
-        membership_report::read(fixture(&format!("{form}.json")).as_bytes()).unwrap(),
+        membership_report::read(read_golden(&format!("{name}.json")).as_bytes()).unwrap(),
         *report,
-        "{form}"
+        "{name}"
     );
 }
 
