--- a/src/bin/woadstall-simulation-adapter.rs
+++ b/src/bin/woadstall-simulation-adapter.rs
@@ -5,7 +5,7 @@
 use std::error::Error;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
 use std::process::ExitCode;
-use woadstall::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply, TABLES};
+use woadstall::wire::{self, BATCH_HEADER_SIZE, BatchHeader, Record, Reply, TABLE_COUNT};
 use woadstall_decisions::Balancer;
 use woadstall_decisions::api::{Action, Event, ServerEntry, Time};
 
@@ -48,10 +48,10 @@
 }
 
 /// Reads the next header; `None` if the input ends between frames.
-fn read_header(input: &mut impl Read) -> Result<Option<[u8; BATCH_HEADER]>, Box<dyn Error>> {
-    let mut header = [0; BATCH_HEADER];
+fn read_header(input: &mut impl Read) -> Result<Option<[u8; BATCH_HEADER_SIZE]>, Box<dyn Error>> {
+    let mut header = [0; BATCH_HEADER_SIZE];
     let mut filled = 0;
-    while filled < BATCH_HEADER {
+    while filled < BATCH_HEADER_SIZE {
         match input.read(&mut header[filled..]) {
             Ok(0) if filled == 0 => return Ok(None),
             Ok(0) => return Err("truncated header".into()),
@@ -67,7 +67,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u32, Balancer>,
-    tables: [Vec<ServerEntry>; TABLES],
+    tables: [Vec<ServerEntry>; TABLE_COUNT],
     actions: Vec<Action>,
     reply: Reply,
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,14 +6,14 @@
 };
 
 /// Size of a batch header, in bytes.
-pub const BATCH_HEADER: usize = 20;
+pub const BATCH_HEADER_SIZE: usize = 20;
 /// Size of a reply header, in bytes.
-pub const REPLY_HEADER: usize = 12;
+pub const REPLY_HEADER_SIZE: usize = 12;
 const EVENT_SIZE: usize = 48;
 const ACTION_SIZE: usize = 24;
 const ENTRY_SIZE: usize = 22;
 /// Number of server tables that can be stored at a time.
-pub const TABLES: usize = 16;
+pub const TABLE_COUNT: usize = 16;
 
 /// The error of an invalid frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Fails if the records exceed the length.
-    pub fn decode(bytes: &[u8; BATCH_HEADER]) -> Result<Self, WireError> {
+    pub fn decode(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<Self, WireError> {
         let header = Self {
             now: u64_at(bytes, 0),
             length: u32_at(bytes, 8) as usize,
@@ -190,28 +190,32 @@
                 settings,
             });
         }
-        1 => return announcement(record, instance),
-        2 => Event::Request(id, request_parameters(record)),
+        1 => return decode_announcement(record, instance),
+        2 => Event::Request(id, decode_request_parameters(record)),
         3 => Event::ResponseStarted(id, record[9] as u32),
-        4 => Event::AttemptEnded(id, attempt_end(record)?),
+        4 => Event::AttemptEnded(id, decode_attempt_end(record)?),
         5 => Event::ClientDisconnected(id),
         6 => Event::Timer(u64_at(record, 5)),
         7 => {
             let server = ServerId(u32_at(record, 5));
-            Event::ProbeEnded(server, outcome(record[9])?, load_report(record, 18)?)
+            Event::ProbeEnded(
+                server,
+                decode_outcome(record[9])?,
+                decode_load_report(record, 18)?,
+            )
         }
         8 => return Ok(Record::Ignored),
         9 => return Ok(Record::RemoveInstance(instance)),
-        10 => return table(record, tail),
+        10 => return decode_table(record, tail),
         code => return Err(WireError::UnknownEvent(code)),
     };
     Ok(Record::Event(instance, event))
 }
 
-fn announcement(record: &[u8], instance: u32) -> Result<Record<'static>, WireError> {
+fn decode_announcement(record: &[u8], instance: u32) -> Result<Record<'static>, WireError> {
     match record[13] {
         form @ 0..=2 => {
-            let table = table_number(u32_at(record, 9))?;
+            let table = check_table_number(u32_at(record, 9))?;
             Ok(Record::Announce {
                 instance,
                 table,
@@ -223,7 +227,7 @@
     }
 }
 
-fn request_parameters(record: &[u8]) -> RequestParameters {
+fn decode_request_parameters(record: &[u8]) -> RequestParameters {
     RequestParameters {
         class: u16_at(record, 21) as usize,
         tenant: u32_at(record, 17) as usize,
@@ -233,35 +237,39 @@
     }
 }
 
-fn attempt_end(record: &[u8]) -> Result<AttemptEnd, WireError> {
+fn decode_attempt_end(record: &[u8]) -> Result<AttemptEnd, WireError> {
     Ok(AttemptEnd {
         attempt: record[18] as u32,
-        outcome: outcome(record[23])?,
+        outcome: decode_outcome(record[23])?,
         elapsed: u64_at(record, 9),
         closed: record[17] != 0,
-        load: load_report(record, 24)?,
+        load: decode_load_report(record, 24)?,
     })
 }
 
-fn table(record: &[u8], tail: &[u8]) -> Result<Record<'static>, WireError> {
+fn decode_table(record: &[u8], tail: &[u8]) -> Result<Record<'static>, WireError> {
     let entries = tail_part(record, 5, ENTRY_SIZE, tail)?;
     let entries = entries
         .chunks_exact(ENTRY_SIZE)
-        .map(entry)
+        .map(decode_entry)
         .collect::<Result<_, _>>()?;
-    Ok(Record::Table(table_number(u32_at(record, 1))?, entries))
+    Ok(Record::Table(
+        check_table_number(u32_at(record, 1))?,
+        entries,
+    ))
 }
 
-fn table_number(number: u32) -> Result<usize, WireError> {
+/// Returns the number of a table as an index, if it is in range.
+fn check_table_number(number: u32) -> Result<usize, WireError> {
     let table = number as usize;
-    if table < TABLES {
+    if table < TABLE_COUNT {
         Ok(table)
     } else {
         Err(WireError::TableNumber(number))
     }
 }
 
-fn outcome(code: u8) -> Result<Outcome, WireError> {
+fn decode_outcome(code: u8) -> Result<Outcome, WireError> {
     Ok(match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
@@ -276,7 +284,7 @@
 }
 
 /// Decodes the load report at `offset`: the number of values, followed by the values. `None` if there are no values.
-fn load_report(record: &[u8], offset: usize) -> Result<Option<LoadReport>, WireError> {
+fn decode_load_report(record: &[u8], offset: usize) -> Result<Option<LoadReport>, WireError> {
     let len = record[offset] as usize;
     if len > 4 {
         return Err(WireError::LoadReportLength(len));
@@ -291,7 +299,7 @@
     Ok((len > 0).then_some(report))
 }
 
-fn entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
+fn decode_entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
     let lifecycle = match bytes[9] {
         0 => Lifecycle::Removed,
         1 => Lifecycle::Ready,
@@ -367,7 +375,7 @@
     pub fn finish(&mut self, sequence: u32, output: &mut Vec<u8>) {
         let length = self.records.len() + self.tail.len();
         let count = self.records.len() / ACTION_SIZE;
-        output.reserve(REPLY_HEADER + length);
+        output.reserve(REPLY_HEADER_SIZE + length);
         for value in [length as u32, count as u32, sequence] {
             output.extend_from_slice(&value.to_le_bytes());
         }
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -1,7 +1,7 @@
 //! Golden tests of the simulator's wire protocol, byte for byte: each record of a batch, each error and each
 //! action of a reply.
 
-use woadstall::wire::{BATCH_HEADER, BatchHeader, Record, Reply, WireError, records};
+use woadstall::wire::{BATCH_HEADER_SIZE, BatchHeader, Record, Reply, WireError, records};
 use woadstall_decisions::api::{
     Action, AttemptEnd, Event, Lifecycle, LoadReport, Outcome, RequestId, RequestParameters,
     ServerEntry, ServerId, ZoneId,
@@ -42,7 +42,7 @@
 
 #[test]
 fn the_header_of_a_batch() {
-    let mut bytes = [0; BATCH_HEADER];
+    let mut bytes = [0; BATCH_HEADER_SIZE];
     bytes[..8].copy_from_slice(&7_000_000_000_u64.to_le_bytes());
     bytes[8..].copy_from_slice(&u32s(&[100, 2, 9]));
     let expected = BatchHeader {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use woadstall::wire::{self, BATCH_HEADER, BatchHeader, Record, Reply};
+use woadstall::wire::{self, BATCH_HEADER_SIZE, BatchHeader, Record, Reply};
 use woadstall_decisions::api::*;
 
 fn hex(text: &str) -> Vec<u8> {
@@ -35,8 +35,8 @@
 }
 
 fn decode(frame: &[u8]) -> Vec<Record<'_>> {
-    let header = BatchHeader::decode(frame[..BATCH_HEADER].try_into().unwrap()).unwrap();
-    wire::records(header, &frame[BATCH_HEADER..])
+    let header = BatchHeader::decode(frame[..BATCH_HEADER_SIZE].try_into().unwrap()).unwrap();
+    wire::records(header, &frame[BATCH_HEADER_SIZE..])
         .collect::<Result<_, _>>()
         .unwrap()
 }
@@ -508,7 +508,7 @@
         assert_eq!(error.lines().count(), 1, "{error}");
         // A batch that is truncated inside its header has no sequence number, so the error cannot name it.
         assert!(
-            input.len() < BATCH_HEADER || error.contains("batch "),
+            input.len() < BATCH_HEADER_SIZE || error.contains("batch "),
             "{text}: {error}"
         );
     }
