--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -181,8 +181,12 @@
     /// Fails if either file cannot be read or is invalid.
     pub fn load() -> Result<Self, ConfigError> {
         let text = read_file()?;
-        let mut config = Self::parse(&text, variable("LB_LISTEN"), variable("LB_DISCOVERY"))?;
-        if let Some(path) = variable("LB_OPERATOR") {
+        let mut config = Self::parse(
+            &text,
+            environment_variable("LB_LISTEN"),
+            environment_variable("LB_DISCOVERY"),
+        )?;
+        if let Some(path) = environment_variable("LB_OPERATOR") {
             config.load_operator_file(path)?;
         }
         Ok(config)
@@ -195,7 +199,7 @@
     ///
     /// Fails if the file cannot be read or is invalid.
     pub fn reload() -> Result<Self, ConfigError> {
-        Self::parse(&read_file()?, variable("LB_LISTEN"), None)
+        Self::parse(&read_file()?, environment_variable("LB_LISTEN"), None)
     }
 
     fn load_operator_file(&mut self, path: String) -> Result<(), ConfigError> {
@@ -221,24 +225,26 @@
         listen: Option<String>,
         discovery: Option<String>,
     ) -> Result<Self, ConfigError> {
-        let raw: Raw = from_json(text)?;
+        let raw: Raw = parse_json(text)?;
         let settings = raw.settings.to_string();
         let names = parse_names(settings.as_bytes())?;
         let settings = parse_settings(settings.as_bytes())?;
         settings.check().map_err(ConfigError::InvalidSettings)?;
         let limits = raw.limits.checked()?;
-        let admin = variable("LB_ADMIN").or(raw.admin);
+        let admin = environment_variable("LB_ADMIN").or(raw.admin);
         Ok(Self {
-            listen: address("listen", listen.or(raw.listen))?,
-            admin: admin.map(|text| address("admin", Some(text))).transpose()?,
-            discovery: address("discovery", discovery.or(raw.discovery))?,
-            name: variable("LB_NAME")
+            listen: parse_address("listen", listen.or(raw.listen))?,
+            admin: admin
+                .map(|text| parse_address("admin", Some(text)))
+                .transpose()?,
+            discovery: parse_address("discovery", discovery.or(raw.discovery))?,
+            name: environment_variable("LB_NAME")
                 .or(raw.name)
                 .filter(|name| !name.is_empty()),
             membership: None,
             evacuation: None,
-            shared_directory: variable("TMPDIR").map(PathBuf::from),
-            seed: seed(raw.seed)?,
+            shared_directory: environment_variable("TMPDIR").map(PathBuf::from),
+            seed: parse_seed(raw.seed)?,
             limits,
             known_endpoints: raw.known_endpoints,
             settings,
@@ -248,28 +254,28 @@
 }
 
 fn read_file() -> Result<String, ConfigError> {
-    let path = variable("LB_CONFIG").ok_or(ConfigError::NoFile)?;
+    let path = environment_variable("LB_CONFIG").ok_or(ConfigError::NoFile)?;
     std::fs::read_to_string(&path).map_err(|source| ConfigError::Read { path, source })
 }
 
 /// Returns an environment variable; `None` if it is unset or empty.
-fn variable(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-fn from_json<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
+fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut deserializer).map_err(ConfigError::Json)?;
     deserializer.end().map_err(ConfigError::TrailingData)?;
     Ok(value)
 }
 
-fn address(field: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigError> {
+fn parse_address(field: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigError> {
     let text = text.ok_or(ConfigError::MissingAddress { field })?;
     text.parse()
         .map_err(|_| ConfigError::InvalidAddress { field, text })
 }
 
-fn seed(text: String) -> Result<u64, ConfigError> {
+fn parse_seed(text: String) -> Result<u64, ConfigError> {
     u64::from_str_radix(&text, 16).map_err(|_| ConfigError::InvalidSeed { text })
 }
--- a/src/net/server/call.rs
+++ b/src/net/server/call.rs
@@ -39,7 +39,7 @@
         connection: &Mutex<ConnectionState>,
     ) -> (CallerResponse, Option<Instant>) {
         if request.uri().path() == HEALTH_PATH {
-            return (self.health(), None);
+            return (self.health_response(), None);
         }
         match self.call(request, connection).await {
             Ok((response, deadline)) => (response, Some(deadline)),
@@ -47,7 +47,7 @@
         }
     }
 
-    fn health(&self) -> CallerResponse {
+    fn health_response(&self) -> CallerResponse {
         let is_healthy = *self.ready.borrow() && !*self.out_of_service.borrow();
         response::status(match is_healthy {
             true => StatusCode::OK,
@@ -63,7 +63,7 @@
         if lock(connection).has_both_lengths() {
             return Err(BOTH_LENGTHS);
         }
-        let call = CallRequest::read(&request, &self.settings.borrow())?;
+        let call = CallRequest::parse(&request, &self.settings.borrow())?;
         if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(TOO_LARGE);
         }
@@ -87,12 +87,12 @@
         };
         let request = Request::from_parts(head, body);
         let result = self.load_balancer.call(parameters, request).await;
-        Ok((response_of(result), deadline))
+        Ok((caller_response(result), deadline))
     }
 }
 
 /// Converts the result of a call to a response.
-fn response_of(result: CallResult<hyper::Response<Http1Body>>) -> CallerResponse {
+fn caller_response(result: CallResult<hyper::Response<Http1Body>>) -> CallerResponse {
     match result {
         CallResult::Served(response) => {
             let mut response = response.map(ResponseBody::from);
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -170,7 +170,7 @@
                 .store(is_unframed, Ordering::Relaxed);
         }
         if let Some(class) = class {
-            self.count(class, &mut response, deadline);
+            self.count_response(class, &mut response, deadline);
         }
         let mut state = lock(&self.connection.state);
         if let Some(deadline) = deadline {
@@ -193,7 +193,12 @@
     }
 
     /// Counts a response: immediately if it is complete, otherwise when its stream ends.
-    fn count(&self, class: String, response: &mut CallerResponse, deadline: Option<Instant>) {
+    fn count_response(
+        &self,
+        class: String,
+        response: &mut CallerResponse,
+        deadline: Option<Instant>,
+    ) {
         let metrics = &self.server.metrics;
         match deadline.filter(|_| !response.body().is_complete()) {
             Some(deadline) => {
--- a/src/net/server/request.rs
+++ b/src/net/server/request.rs
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// Fails if path, method and headers do not match a class, or if a header is missing, repeated or malformed.
-    pub fn read(
+    pub fn parse(
         request: &Request<Incoming>,
         settings: &ServiceSettings,
     ) -> Result<Self, Rejection> {
@@ -78,8 +78,8 @@
         {
             return Err(Rejection::bad_request("a header is there twice\n"));
         }
-        let call_id = text(headers, "x-call-id").filter(|id| !id.is_empty());
-        let tenant = settings.active.tenant(text(headers, "x-caller"));
+        let call_id = header_text(headers, "x-call-id").filter(|id| !id.is_empty());
+        let tenant = settings.active.tenant(header_text(headers, "x-caller"));
         Ok(Self {
             call_id: call_id
                 .ok_or(Rejection::bad_request(
@@ -88,9 +88,9 @@
                 .to_owned(),
             class,
             tenant: tenant.ok_or(Rejection::bad_request("X-Caller is missing or not known\n"))?,
-            budget: budget(headers)
+            budget: parse_budget(headers)
                 .ok_or(Rejection::bad_request("X-Budget is missing or malformed\n"))?,
-            work: work(headers)?,
+            work: parse_work(headers)?,
         })
     }
 }
@@ -102,12 +102,12 @@
     let first = *classes
         .peek()
         .ok_or(Rejection::new(StatusCode::NOT_FOUND, "no such path\n"))?;
-    if text(headers, "x-call-class") != Some(name) {
+    if header_text(headers, "x-call-class") != Some(name) {
         return Err(Rejection::bad_request(
             "X-Call-Class is missing or not that of the path\n",
         ));
     }
-    let has_key = text(headers, "idempotency-key").is_some_and(|key| !key.is_empty());
+    let has_key = header_text(headers, "idempotency-key").is_some_and(|key| !key.is_empty());
     let fits = |class: &usize| match settings.active.effect(*class) {
         Effect::Safe => request.method() == Method::GET,
         Effect::Keyed(..) => request.method() == Method::POST && has_key,
@@ -134,18 +134,20 @@
     settings.active.class(name).into_iter().chain(previous)
 }
 
-fn budget(headers: &HeaderMap) -> Option<Duration> {
-    let seconds = text(headers, "x-budget")?.parse().ok()?;
+/// Parses the `X-Budget` header; `None` if it is missing, malformed or above [`MAX_BUDGET`].
+fn parse_budget(headers: &HeaderMap) -> Option<Duration> {
+    let seconds = header_text(headers, "x-budget")?.parse().ok()?;
     Duration::try_from_secs_f64(seconds)
         .ok()
         .filter(|budget| *budget <= MAX_BUDGET)
 }
 
-fn work(headers: &HeaderMap) -> Result<Option<u64>, Rejection> {
+/// Parses the optional `X-Call-Cost` header, whose unit is microseconds, as nanoseconds.
+fn parse_work(headers: &HeaderMap) -> Result<Option<u64>, Rejection> {
     if !headers.contains_key("x-call-cost") {
         return Ok(None);
     }
-    let micros = text(headers, "x-call-cost").and_then(|cost| cost.parse::<f64>().ok());
+    let micros = header_text(headers, "x-call-cost").and_then(|cost| cost.parse::<f64>().ok());
     let valid = micros.filter(|micros| micros.is_finite() && *micros >= 0.0);
     let micros = valid.ok_or(Rejection::bad_request("X-Call-Cost is malformed\n"))?;
     Ok(Some((micros * 1e3) as u64))
@@ -156,7 +158,8 @@
     request.uri().path().split('/').nth(1).unwrap_or("")
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns the value of a header; `None` if the header is missing or its value is not visible ASCII.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
