--- a/crates/hot-restart/src/socket.rs
+++ b/crates/hot-restart/src/socket.rs
@@ -105,7 +105,7 @@
 async fn receive_document(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let mut stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
-        Err(error) if is_no_listener(&error) => return Ok(None),
+        Err(error) if means_no_listener(&error) => return Ok(None),
         Err(error) => return Err(error),
     };
     if !is_same_user(&stream)? {
@@ -121,7 +121,7 @@
 }
 
 /// Whether a connect error means that no process listens at the path.
-fn is_no_listener(error: &io::Error) -> bool {
+fn means_no_listener(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::NotFound | ErrorKind::ConnectionRefused
