--- a/src/net/server/call.rs
+++ b/src/net/server/call.rs
@@ -39,7 +39,7 @@
         connection: &Mutex<ConnectionState>,
     ) -> (CallerResponse, Option<Instant>) {
         if request.uri().path() == HEALTH_PATH {
-            return (self.health(), None);
+            return (self.health_response(), None);
         }
         match self.call(request, connection).await {
             Ok((response, deadline)) => (response, Some(deadline)),
@@ -47,7 +47,7 @@
         }
     }
 
-    fn health(&self) -> CallerResponse {
+    fn health_response(&self) -> CallerResponse {
         let is_healthy = *self.ready.borrow() && !*self.out_of_service.borrow();
         response::status(match is_healthy {
             true => StatusCode::OK,
@@ -63,13 +63,13 @@
         if lock(connection).has_both_lengths() {
             return Err(BOTH_LENGTHS);
         }
-        let call = CallRequest::read(&request, &self.settings.borrow())?;
+        let call = CallRequest::parse(&request, &self.settings.borrow())?;
         if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(TOO_LARGE);
         }
         let memory_limit = self.config.limits.memory_bytes / BODY_MEMORY_DIVISOR;
         let mut memory = BodyMemory::new(&self.body_bytes, memory_limit);
-        let _call_id = CallIdGuard::take(&self.open_call_ids, call.call_id)?;
+        let _call_id = CallIdGuard::reserve(&self.open_call_ids, call.call_id)?;
         let (mut head, body) = request.into_parts();
         let body = read_body(body, &mut memory).await?;
         let deadline = lock(connection).request_completed() + call.budget;
@@ -87,12 +87,12 @@
         };
         let request = Request::from_parts(head, body);
         let result = self.load_balancer.call(parameters, request).await;
-        Ok((response_of(result), deadline))
+        Ok((caller_response(result), deadline))
     }
 }
 
 /// Converts the result of a call to a response.
-fn response_of(result: CallResult<hyper::Response<Http1Body>>) -> CallerResponse {
+fn caller_response(result: CallResult<hyper::Response<Http1Body>>) -> CallerResponse {
     match result {
         CallResult::Served(response) => {
             let mut response = response.map(ResponseBody::from);
@@ -108,21 +108,21 @@
 /// Reserves the id of an open call until dropped. Prevents a second open call with the same id, since upstreams and
 /// callers could not tell the responses apart.
 struct CallIdGuard<'a> {
-    open: &'a Mutex<HashSet<String>>,
+    open_call_ids: &'a Mutex<HashSet<String>>,
     id: String,
 }
 
 impl<'a> CallIdGuard<'a> {
-    fn take(open: &'a Mutex<HashSet<String>>, id: String) -> Result<Self, Rejection> {
-        if !lock(open).insert(id.clone()) {
+    fn reserve(open_call_ids: &'a Mutex<HashSet<String>>, id: String) -> Result<Self, Rejection> {
+        if !lock(open_call_ids).insert(id.clone()) {
             return Err(CALL_ID_IN_USE);
         }
-        Ok(Self { open, id })
+        Ok(Self { open_call_ids, id })
     }
 }
 
 impl Drop for CallIdGuard<'_> {
     fn drop(&mut self) {
-        lock(self.open).remove(&self.id);
+        lock(self.open_call_ids).remove(&self.id);
     }
 }
