--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -1,5 +1,5 @@
-//! Costs of a run apart from the work on requests, by tier, with the largest sender and the worst second. They
-//! show behavior that is harmless in one balancer and expensive when all balancers do it.
+//! Costs of a run apart from the work on requests, by tier, with the balancer that incurs the most and the worst
+//! second. The costs show behavior that is harmless in one balancer and expensive when all balancers do it.
 
 use crate::units::SECOND;
 use serde::{Deserialize, Serialize};
@@ -91,20 +91,31 @@
     pub worst_second: (u64, u64),
 }
 
+/// Occurrences of one kind of cost in one tier.
 #[derive(Clone, Debug, Default)]
 struct Tally {
     total: u64,
+    /// Occurrences by number of the balancer.
     count_by_sender: Vec<u32>,
     count_by_second: Vec<u32>,
 }
 
-fn increment(counts: &mut Vec<u32>, at: usize) {
-    if counts.len() <= at {
-        counts.resize(at + 1, 0);
+/// Requests and costs of one tier.
+#[derive(Clone, Debug, Default)]
+struct TierCosts {
+    requests: u64,
+    /// One entry for each kind of cost, in the order of [`Cost::ALL`].
+    tallies: [Tally; Cost::ALL.len()],
+}
+
+fn increment(counts: &mut Vec<u32>, index: usize) {
+    if counts.len() <= index {
+        counts.resize(index + 1, 0);
     }
-    counts[at] = counts[at].saturating_add(1);
+    counts[index] = counts[index].saturating_add(1);
 }
 
+/// Index and value of the first maximum; 0 and 0 if there are no counts.
 fn first_maximum(counts: &[u32]) -> (usize, u32) {
     // Of equal counts the first one is taken, so that the result is deterministic.
     counts
@@ -119,25 +130,25 @@
 /// Collects the costs during a run.
 #[derive(Clone, Debug, Default)]
 pub struct CostCounters {
-    tiers: Vec<(u64, [Tally; Cost::ALL.len()])>,
+    tiers: Vec<TierCosts>,
 }
 
 impl CostCounters {
     /// Creates counters for a number of tiers.
     pub fn new(tiers: usize) -> Self {
         Self {
-            tiers: vec![Default::default(); tiers],
+            tiers: vec![TierCosts::default(); tiers],
         }
     }
 
     /// Counts a request that a balancer of the tier received.
     pub fn count_request(&mut self, tier: usize) {
-        self.tiers[tier].0 += 1;
+        self.tiers[tier].requests += 1;
     }
 
     /// Counts one occurrence of a cost at a balancer of the tier.
-    pub fn count(&mut self, now: Time, tier: usize, price: Cost, sender: usize) {
-        let tally = &mut self.tiers[tier].1[price as usize];
+    pub fn count(&mut self, now: Time, tier: usize, cost: Cost, sender: usize) {
+        let tally = &mut self.tiers[tier].tallies[cost as usize];
         tally.total += 1;
         increment(&mut tally.count_by_sender, sender);
         increment(&mut tally.count_by_second, (now / SECOND) as usize);
@@ -146,23 +157,22 @@
     /// Table of all costs that occurred, by tier.
     pub fn rows(&self, names: &[String]) -> Vec<CostRow> {
         let tiers = self.tiers.iter().zip(names);
-        let rows = tiers.flat_map(|((requests, tallies), tier)| {
+        let rows = tiers.flat_map(|(tier, name)| {
             Cost::ALL
                 .into_iter()
-                .zip(tallies)
+                .zip(&tier.tallies)
                 .filter(|(_, tally)| tally.total > 0)
-                .map(move |(price, tally)| {
-                    let ((sender, count), (second, worst)) = (
-                        first_maximum(&tally.count_by_sender),
-                        first_maximum(&tally.count_by_second),
-                    );
+                .map(move |(cost, tally)| {
+                    let (sender, sender_count) = first_maximum(&tally.count_by_sender);
+                    let (second, second_count) = first_maximum(&tally.count_by_second);
+                    let sender_fraction = f64::from(sender_count) / tally.total as f64;
                     CostRow {
-                        tier: tier.clone(),
-                        cost: price,
+                        tier: name.clone(),
+                        cost,
                         total: tally.total,
-                        per_request: tally.total as f64 / (*requests).max(1) as f64,
-                        largest_sender: (sender as u32, f64::from(count) / tally.total as f64),
-                        worst_second: (second as u64, u64::from(worst)),
+                        per_request: tally.total as f64 / tier.requests.max(1) as f64,
+                        largest_sender: (sender as u32, sender_fraction),
+                        worst_second: (second as u64, u64::from(second_count)),
                     }
                 })
         });
--- a/crates/emulator/src/evacuation.rs
+++ b/crates/emulator/src/evacuation.rs
@@ -25,9 +25,12 @@
 #[derive(Clone, Debug)]
 pub struct EvacuationTracker {
     zones: Vec<String>,
+    /// Present share, by balancer and zone.
     shares: Vec<Vec<f64>>,
-    since: Vec<Vec<Time>>,
+    /// Time up to which each present share is included in `diverted_seconds`, by balancer and zone.
+    accumulated_until: Vec<Vec<Time>>,
     changes: Vec<ShareChange>,
+    /// Diverted share of each zone, integrated over time in seconds and summed over all balancers.
     diverted_seconds: Vec<f64>,
 }
 
@@ -53,7 +56,7 @@
         Self {
             zones,
             shares: vec![vec![1.0; count]; balancers],
-            since: vec![vec![0; count]; balancers],
+            accumulated_until: vec![vec![0; count]; balancers],
             changes: Vec::new(),
             diverted_seconds: vec![0.0; count],
         }
@@ -72,15 +75,15 @@
     }
 
     /// Records a share change of a balancer.
-    pub fn record_share_change(&mut self, to: ShareChange) {
-        let (balancer, zone) = (to.balancer as usize, usize::from(to.zone));
-        let was = self.shares[balancer][zone];
-        if was == to.share {
-            return; // an unchanged share that was renewed
+    pub fn record_share_change(&mut self, change: ShareChange) {
+        let (balancer, zone) = (change.balancer as usize, usize::from(change.zone));
+        let previous_share = self.shares[balancer][zone];
+        if previous_share == change.share {
+            return; // the verdict was renewed with the same share
         }
-        self.accumulate(to.at, balancer, zone);
-        self.shares[balancer][zone] = to.share;
-        self.changes.push(to);
+        self.accumulate(change.at, balancer, zone);
+        self.shares[balancer][zone] = change.share;
+        self.changes.push(change);
     }
 
     /// Records the share of a zone, given by its name, as observed at a balancer.
@@ -95,10 +98,11 @@
         }
     }
 
+    /// Adds the diverted share since the last change to `diverted_seconds`.
     fn accumulate(&mut self, now: Time, balancer: usize, zone: usize) {
-        let since = std::mem::replace(&mut self.since[balancer][zone], now);
-        let time = now.saturating_sub(since) as f64 / SECOND as f64;
-        self.diverted_seconds[zone] += (1.0 - self.shares[balancer][zone]) * time;
+        let since = std::mem::replace(&mut self.accumulated_until[balancer][zone], now);
+        let seconds = now.saturating_sub(since) as f64 / SECOND as f64;
+        self.diverted_seconds[zone] += (1.0 - self.shares[balancer][zone]) * seconds;
     }
 
     /// Finishes the tracking and returns the report.
@@ -107,63 +111,73 @@
         for balancer in 0..balancers {
             (0..self.zones.len()).for_each(|zone| self.accumulate(now, balancer, zone));
         }
-        let of = balancers.max(1) as f64;
-        let mut outs = vec![vec![false; self.zones.len()]; balancers];
-        let mut out = Vec::new();
-        for to in &self.changes {
-            let (balancer, zone) = (to.balancer as usize, usize::from(to.zone));
-            if std::mem::replace(&mut outs[balancer][zone], to.share <= EVACUATED_MAX_SHARE)
-                != (to.share <= EVACUATED_MAX_SHARE)
-            {
-                let part = outs.iter().filter(|outs| outs[zone]).count() as f64 / of;
-                out.push((to.at as f64 / SECOND as f64, self.zones[zone].clone(), part));
+        let balancer_count = balancers.max(1) as f64;
+        // Whether each balancer has evacuated each zone.
+        let mut has_evacuated = vec![vec![false; self.zones.len()]; balancers];
+        let mut evacuated_fractions = Vec::new();
+        for change in &self.changes {
+            let (balancer, zone) = (change.balancer as usize, usize::from(change.zone));
+            let evacuates = change.share <= EVACUATED_MAX_SHARE;
+            if std::mem::replace(&mut has_evacuated[balancer][zone], evacuates) != evacuates {
+                let evacuated = has_evacuated.iter().filter(|zones| zones[zone]).count();
+                evacuated_fractions.push((
+                    change.at as f64 / SECOND as f64,
+                    self.zones[zone].clone(),
+                    evacuated as f64 / balancer_count,
+                ));
             }
         }
-        let moved = self
+        let diverted_share_seconds = self
             .zones
             .iter()
             .cloned()
-            .zip(self.diverted_seconds.iter().map(|away| away / of))
+            .zip(
+                self.diverted_seconds
+                    .iter()
+                    .map(|seconds| seconds / balancer_count),
+            )
             .collect();
         EvacuationReport {
-            evacuated_fractions: out,
-            diverted_share_seconds: moved,
+            evacuated_fractions,
+            diverted_share_seconds,
             share_changes: self.changes.len() as u64,
         }
     }
 }
 
 impl EvacuationReport {
-    /// Seconds after `from` until at least the fraction `part` of the balancers had evacuated a zone.
-    pub fn evacuated_after(&self, zone: &str, from: f64, part: f64) -> Option<f64> {
-        let of = self
+    /// Seconds after `from` until at least a fraction of the balancers had evacuated a zone.
+    pub fn evacuated_after(&self, zone: &str, from: f64, fraction: f64) -> Option<f64> {
+        let zone_changes = self
             .evacuated_fractions
             .iter()
             .filter(|(_, name, _)| name == zone);
-        let before = of
+        let was_evacuated = zone_changes
             .clone()
-            .rfind(|(at, ..)| *at <= from)
-            .is_some_and(|(_, _, out)| *out >= part);
-        if before {
+            .rfind(|(time, ..)| *time <= from)
+            .is_some_and(|(_, _, evacuated)| *evacuated >= fraction);
+        if was_evacuated {
             return Some(0.0);
         }
-        of.into_iter()
-            .find(|(at, _, out)| *at > from && *out >= part)
-            .map(|(at, ..)| at - from)
+        zone_changes
+            .into_iter()
+            .find(|(time, _, evacuated)| *time > from && *evacuated >= fraction)
+            .map(|(time, ..)| time - from)
     }
 
     /// Largest fraction of the balancers that had evacuated a zone between two times in seconds.
     pub fn max_evacuated_fraction(&self, zone: &str, from: f64, until: f64) -> f64 {
-        let of = self
+        let zone_changes = self
             .evacuated_fractions
             .iter()
-            .filter(|(at, name, _)| name == zone && *at < until);
-        let before = of
+            .filter(|(time, name, _)| name == zone && *time < until);
+        let initial_fraction = zone_changes
             .clone()
-            .rfind(|(at, ..)| *at <= from)
-            .map_or(0.0, |(_, _, part)| *part);
-        of.filter(|(at, ..)| *at > from)
-            .map(|(_, _, part)| *part)
-            .fold(before, f64::max)
+            .rfind(|(time, ..)| *time <= from)
+            .map_or(0.0, |(_, _, fraction)| *fraction);
+        zone_changes
+            .filter(|(time, ..)| *time > from)
+            .map(|(_, _, fraction)| *fraction)
+            .fold(initial_fraction, f64::max)
     }
 }
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,4 +1,5 @@
-//! Measurements of a run: value served relative to the value offered and to a fluid bound.
+//! Measurements of a run: the value served, relative to the value offered and to a fluid bound, which is an upper
+//! bound of the value that any policy could serve.
 
 use crate::audit::{Breach, Rule};
 use crate::costs::CostRow;
@@ -17,7 +18,7 @@
     OnTime,
     /// Served after the latency target.
     Late,
-    /// Refused, also after all retries of the caller.
+    /// Refused, even after all retries of the caller.
     Refused,
     /// Failed without a usable answer.
     Failed,
@@ -35,7 +36,7 @@
     pub on_time: u64,
     /// Calls served after the latency target.
     pub late: u64,
-    /// Calls refused, also after all retries of the caller.
+    /// Calls refused even after all retries of the caller.
     pub refused: u64,
     /// Calls that failed.
     pub failed: u64,
@@ -167,7 +168,7 @@
     }
 }
 
-/// Value and cost of a class of requests.
+/// Value, latency target and work of a class of requests.
 #[derive(Clone, Copy)]
 struct ClassFigures {
     /// Value of an answer within the latency target.
@@ -185,14 +186,17 @@
 /// Calls of a class that arrived in one step and are not served yet, as a fluid.
 #[derive(Clone, Copy)]
 struct WaitingCalls {
+    /// Index of the step in which the calls arrived.
     step: usize,
     calls: f64,
 }
 
-/// Work left in a step, in nanoseconds, and value served so far.
+/// State of the computation of the fluid bound.
 #[derive(Clone, Copy, Default)]
-struct Fluid {
+struct FluidState {
+    /// Capacity left in the current step, in nanoseconds of work.
     capacity: f64,
+    /// Value served so far.
     value: f64,
 }
 
@@ -210,9 +214,11 @@
     steps: Vec<TimelineStep>,
     /// Calls of each class in the present step, from the warm-up on.
     arrivals: Vec<u64>,
+    /// Finished values of `arrivals`, by step and class.
     arrivals_by_step: Vec<Vec<u64>>,
     step_length: Time,
     host_count: usize,
+    /// Mean number of requests to each tier per client call; 0 for a tier that no call reaches.
     requests_per_call: Vec<f64>,
     log_lines: u64,
 }
@@ -232,18 +238,17 @@
             deadline: class.deadline.0,
             work: class.service.mean(),
         });
-        // Mean number of requests to each tier per client call.
-        let mut multiple = vec![0.0; scenario.tier.len()];
-        let (mut at, mut times) = (0, 1.0);
+        let mut requests_per_call = vec![0.0; scenario.tier.len()];
+        let (mut tier, mut requests) = (0, 1.0);
         loop {
-            multiple[at] = times;
-            let Some(calls) = &scenario.tier[at].calls else {
+            requests_per_call[tier] = requests;
+            let Some(calls) = &scenario.tier[tier].calls else {
                 break;
             };
-            let Some(next) = scenario.tier(&calls.tier) else {
+            let Some(called_tier) = scenario.tier(&calls.tier) else {
                 break;
             };
-            (at, times) = (next, times * calls.mean);
+            (tier, requests) = (called_tier, requests * calls.mean);
         }
         Self {
             arrivals: vec![0; scenario.class.len()],
@@ -258,7 +263,7 @@
             arrivals_by_step: Vec::new(),
             step_length: scenario.step.0,
             host_count: scenario.process_counts().1 as usize,
-            requests_per_call: multiple,
+            requests_per_call,
             log_lines: 0,
         }
     }
@@ -281,11 +286,11 @@
     }
 
     /// Counts an attempt that a balancer sends to a host.
-    pub fn sent(&mut self, attempt: u32, crosses: bool, host: u32) {
+    pub fn sent(&mut self, attempt: u32, crosses_zones: bool, host: u32) {
         let counts = &mut self.step.counts;
         counts.attempts += 1;
         counts.retries += u64::from(attempt > 0);
-        counts.cross_zone_attempts += u64::from(crosses);
+        counts.cross_zone_attempts += u64::from(crosses_zones);
         let (hosts, host) = (&mut self.step.attempts_by_host, host as usize);
         if hosts.len() <= host {
             hosts.resize(self.host_count.max(host + 1), 0);
@@ -294,7 +299,7 @@
     }
 
     /// Counts a finished call, with its total latency.
-    pub fn ended(&mut self, class: usize, outcome: CallOutcome, took: Time, measured: bool) {
+    pub fn ended(&mut self, class: usize, outcome: CallOutcome, latency: Time, measured: bool) {
         let ClassFigures {
             value, late_value, ..
         } = self.classes[class];
@@ -311,20 +316,20 @@
         count(&mut self.step.counts);
         let served = matches!(outcome, CallOutcome::OnTime | CallOutcome::Late);
         if served {
-            self.step_latency.saturating_record(took / 1_000);
+            self.step_latency.saturating_record(latency / 1_000);
         }
         if measured {
             count(&mut self.totals);
             if served {
-                self.latency.saturating_record(took / 1_000);
-                self.latency_sum += took as f64;
+                self.latency.saturating_record(latency / 1_000);
+                self.latency_sum += latency as f64;
             }
         }
     }
 
     /// Records the number of requests that an upstream holds.
-    pub fn queued(&mut self, held: u32) {
-        self.longest_queue = self.longest_queue.max(held);
+    pub fn queued(&mut self, request_count: u32) {
+        self.longest_queue = self.longest_queue.max(request_count);
     }
 
     /// Counts a log line by its first word, which is its topic.
@@ -339,17 +344,24 @@
     }
 
     /// Ends a step of the timeline, with the present capacity of each tier and the open requests and attempts.
-    pub fn step(&mut self, now: Time, speed: &[f64], requests: usize, attempts: usize) {
+    pub fn step(
+        &mut self,
+        now: Time,
+        tier_capacity: &[f64],
+        open_requests: usize,
+        open_attempts: usize,
+    ) {
         let mut step = std::mem::take(&mut self.step);
         step.end_seconds = now as f64 / 1e9;
-        let ms = |part: f64| self.step_latency.value_at_quantile(part) as f64 / 1e3;
-        (step.p50_ms, step.p99_ms) = (ms(0.5), ms(0.99));
+        let quantile_ms =
+            |quantile: f64| self.step_latency.value_at_quantile(quantile) as f64 / 1e3;
+        (step.p50_ms, step.p99_ms) = (quantile_ms(0.5), quantile_ms(0.99));
         let recorded = self.step_latency.iter_recorded();
         step.latency_histogram_us = recorded
             .map(|value| (value.value_iterated_to(), value.count_at_value()))
             .collect();
-        step.tier_capacity_workers = speed.to_vec();
-        step.open_requests_and_attempts = (requests as u64, attempts as u64);
+        step.tier_capacity_workers = tier_capacity.to_vec();
+        step.open_requests_and_attempts = (open_requests as u64, open_attempts as u64);
         self.step_latency.reset();
         self.steps.push(step);
         self.arrivals_by_step.push(std::mem::replace(
@@ -364,20 +376,20 @@
     /// work, so it is above the achievable value.
     fn fluid_bound(&self) -> f64 {
         let mut waiting: Vec<VecDeque<WaitingCalls>> = vec![VecDeque::new(); self.classes.len()];
-        let order = self.order_of_value();
+        let classes_by_value = self.order_of_value();
         // The capacity of the last step continues until the deadlines of the last calls have passed.
-        let longest = self
+        let deadline_steps = self
             .classes
             .iter()
             .map(|class| class.deadline / self.step_length + 2)
             .max()
             .unwrap_or(0);
-        let mut fluid = Fluid::default();
-        for at in 0..self.steps.len() + longest as usize {
-            self.admit_calls(at, &mut waiting);
-            fluid.capacity = self.capacity_of_step(at);
-            for &(class, late) in &order {
-                self.serve(at, (class, late), &mut waiting[class], &mut fluid);
+        let mut fluid = FluidState::default();
+        for step in 0..self.steps.len() + deadline_steps as usize {
+            self.admit_calls(step, &mut waiting);
+            fluid.capacity = self.capacity_of_step(step);
+            for &(class, late) in &classes_by_value {
+                self.serve(step, (class, late), &mut waiting[class], &mut fluid);
             }
         }
         fluid.value
@@ -397,30 +409,33 @@
     }
 
     /// Capacity of the slowest tier in a step, in nanoseconds of work on client calls.
-    fn capacity_of_step(&self, at: usize) -> f64 {
-        let step = &self.steps[at.min(self.steps.len() - 1)];
-        let least = step
+    fn capacity_of_step(&self, step_index: usize) -> f64 {
+        let step = &self.steps[step_index.min(self.steps.len() - 1)];
+        let slowest_tier = step
             .tier_capacity_workers
             .iter()
             .zip(&self.requests_per_call)
-            .filter(|(_, multiple)| **multiple > 0.0)
-            .map(|(speed, multiple)| speed / multiple)
+            .filter(|(_, requests)| **requests > 0.0)
+            .map(|(capacity, requests)| capacity / requests)
             .fold(f64::MAX, f64::min);
-        least * self.step_length as f64
+        slowest_tier * self.step_length as f64
     }
 
     /// Adds the calls that arrived in a step, and drops those past their deadline.
-    fn admit_calls(&self, at: usize, waiting: &mut [VecDeque<WaitingCalls>]) {
+    fn admit_calls(&self, step: usize, waiting: &mut [VecDeque<WaitingCalls>]) {
         for (class, waiting) in waiting.iter_mut().enumerate() {
-            let came = self.arrivals_by_step.get(at).map_or(0, |came| came[class]);
+            let arrived = self
+                .arrivals_by_step
+                .get(step)
+                .map_or(0, |arrivals| arrivals[class]);
             waiting.push_back(WaitingCalls {
-                step: at,
-                calls: came as f64,
+                step,
+                calls: arrived as f64,
             });
-            let deadline = (self.classes[class].deadline / self.step_length) as usize + 1;
+            let deadline_steps = (self.classes[class].deadline / self.step_length) as usize + 1;
             while waiting
                 .front()
-                .is_some_and(|oldest| oldest.step + deadline < at)
+                .is_some_and(|oldest| oldest.step + deadline_steps < step)
             {
                 waiting.pop_front();
             }
@@ -431,75 +446,76 @@
     /// target.
     fn serve(
         &self,
-        at: usize,
+        step: usize,
         (class, late): (usize, bool),
         waiting: &mut VecDeque<WaitingCalls>,
-        fluid: &mut Fluid,
+        fluid: &mut FluidState,
     ) {
         let figures = &self.classes[class];
-        let within = (figures.latency_target / self.step_length) as usize + 1;
-        let each = if late {
+        let target_steps = (figures.latency_target / self.step_length) as usize + 1;
+        let value_per_call = if late {
             figures.value * figures.late_value
         } else {
             figures.value
         };
         for calls in waiting
             .iter_mut()
-            .filter(|calls| late == (calls.step + within < at))
+            .filter(|calls| late == (calls.step + target_steps < step))
         {
-            let done = calls.calls.min(fluid.capacity / figures.work);
-            calls.calls -= done;
-            fluid.capacity -= done * figures.work;
-            fluid.value += done * each; // a single running sum: the order of additions affects the last digits
+            let served = calls.calls.min(fluid.capacity / figures.work);
+            calls.calls -= served;
+            fluid.capacity -= served * figures.work;
+            // A single running sum: the order of the additions affects the last digits.
+            fluid.value += served * value_per_call;
         }
     }
 
     /// Finishes the measurements, with the auditor's findings.
     pub fn end(
         self,
-        (counts, first_breaches): ([u64; 5], Vec<Breach>),
+        (breach_counts, first_breaches): ([u64; 5], Vec<Breach>),
         events: u64,
-        story: Vec<(Time, String)>,
+        call_trace: Vec<(Time, String)>,
     ) -> RunResult {
         let bound = if self.steps.is_empty() {
             0.0
         } else {
             self.fluid_bound()
         };
-        let mut all = self.totals;
+        let mut totals = self.totals;
         // Requests and attempts are not attributed to calls, so the ones of the warm-up are included.
         for step in &self.steps {
-            all.requests += step.counts.requests;
-            all.attempts += step.counts.attempts;
-            all.retries += step.counts.retries;
-            all.cross_zone_attempts += step.counts.cross_zone_attempts;
+            totals.requests += step.counts.requests;
+            totals.attempts += step.counts.attempts;
+            totals.retries += step.counts.retries;
+            totals.cross_zone_attempts += step.counts.cross_zone_attempts;
         }
-        let part = |value: f64, of: f64| if of > 0.0 { value / of } else { 1.0 };
-        let ms = |part: f64| self.latency.value_at_quantile(part) as f64 / 1e3;
+        let ratio = |value: f64, whole: f64| if whole > 0.0 { value / whole } else { 1.0 };
+        let quantile_ms = |quantile: f64| self.latency.value_at_quantile(quantile) as f64 / 1e3;
         RunResult {
-            served_value_fraction: part(all.value, all.value_offered),
-            fluid_bound: part(bound, all.value_offered).min(1.0),
-            score: part(all.value, bound.min(all.value_offered)),
+            served_value_fraction: ratio(totals.value, totals.value_offered),
+            fluid_bound: ratio(bound, totals.value_offered).min(1.0),
+            score: ratio(totals.value, bound.min(totals.value_offered)),
             latency: Latencies {
-                mean: self.latency_sum / (all.on_time + all.late).max(1) as f64 / 1e6,
-                p50: ms(0.5),
-                p90: ms(0.9),
-                p99: ms(0.99),
-                p999: ms(0.999),
+                mean: self.latency_sum / (totals.on_time + totals.late).max(1) as f64 / 1e6,
+                p50: quantile_ms(0.5),
+                p90: quantile_ms(0.9),
+                p99: quantile_ms(0.99),
+                p999: quantile_ms(0.999),
                 max: self.latency.max() as f64 / 1e3,
             },
-            breaches: Rule::ALL.into_iter().zip(counts).collect(),
+            breaches: Rule::ALL.into_iter().zip(breach_counts).collect(),
             first_breaches,
             longest_queue: self.longest_queue,
             log_lines: self.log_lines,
             events,
-            counts: all,
+            counts: totals,
             costs: Vec::new(),
             bounds: Vec::new(),
             members: None,
             evacuation: None,
             timeline: self.steps,
-            call_trace: story,
+            call_trace,
         }
     }
 }
