--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -11,7 +11,7 @@
 /// still be in transit and does not count as false.
 const PROPAGATION_GRACE: Time = 10 * SECOND;
 /// A death that lasts at least this long must become known.
-const MIN_KNOWN_DEATH: Time = 30 * SECOND;
+const MIN_DEATH_DURATION: Time = 30 * SECOND;
 /// Maximum number of false deaths described in full.
 const MAX_DETAILS: usize = 20;
 /// Maximum number of recorded changes of agreement.
@@ -33,17 +33,21 @@
     Left,
 }
 
+/// State of a member.
 #[derive(Clone, Debug, Default)]
 struct Member {
-    up: bool,
+    running: bool,
     paused_since: Option<Time>,
+    /// A partition separates the member from all others, in at least one direction.
     unreachable_by_all: bool,
     /// Until this time, a view of the running member as dead does not count as false.
     excused_until: Time,
-    /// Some member considers this one dead although it is running.
+    /// Some member has come to consider this one dead although it is running; that counts once until the member is
+    /// considered alive again.
     falsely_dead: bool,
 }
 
+/// Death of a member that has not been started again.
 #[derive(Clone, Debug)]
 struct Death {
     at: Time,
@@ -51,19 +55,23 @@
     unaware: usize,
 }
 
-/// Collects the members' states and their views of each other.
+/// Collects the members' states and their views of each other. Members are identified by their position.
 #[derive(Clone, Debug)]
 pub struct MembershipObserver {
     members: Vec<Member>,
+    /// View of each member on each other one: the entry at `viewer * members.len() + member`.
     views: Vec<MemberView>,
     tolerated_pause: Time,
     deaths: BTreeMap<usize, Death>,
+    /// Milliseconds until a death was known, over all members that had to learn of it.
     known: Histogram<u64>,
+    /// Milliseconds until a death was known by all members.
     known_by_all: Histogram<u64>,
     death_count: u64,
     never_known: u64,
     false_deaths: u64,
     false_death_details: Vec<String>,
+    /// Number of ordered pairs of active members in which the first one does not consider the second one alive.
     disagreements: usize,
     agreement_changes: Vec<(Time, bool)>,
     partitions_reported: Vec<(Time, f64)>,
@@ -113,13 +121,13 @@
 }
 
 impl Quantiles {
-    fn of(times: &Histogram<u64>) -> Self {
-        let at = |part| times.value_at_quantile(part) as f64;
+    fn of(times_ms: &Histogram<u64>) -> Self {
+        let quantile_ms = |quantile| times_ms.value_at_quantile(quantile) as f64;
         Self {
-            count: times.len(),
-            p50: at(0.5),
-            p99: at(0.99),
-            max: times.max() as f64,
+            count: times_ms.len(),
+            p50: quantile_ms(0.5),
+            p99: quantile_ms(0.99),
+            max: times_ms.max() as f64,
         }
     }
 }
@@ -149,63 +157,69 @@
         }
     }
 
-    fn disagrees(&self, by: usize, of: usize) -> bool {
-        let view = self.views[by * self.members.len() + of];
-        by != of && view != MemberView::Alive && self.is_active(by) && self.is_active(of)
+    /// Whether both members are active and the first one does not consider the second one alive.
+    fn disagrees(&self, viewer: usize, member: usize) -> bool {
+        let view = self.views[viewer * self.members.len() + member];
+        viewer != member
+            && view != MemberView::Alive
+            && self.is_active(viewer)
+            && self.is_active(member)
     }
 
-    /// Number of ordered pairs with this member in which one running member does not consider the other alive.
-    fn disagreements_with(&self, who: usize) -> usize {
-        let all = 0..self.members.len();
-        all.map(|other| {
-            usize::from(self.disagrees(who, other)) + usize::from(self.disagrees(other, who))
-        })
-        .sum()
+    /// Number of disagreements with this member as either viewer or viewed.
+    fn disagreements_with(&self, member: usize) -> usize {
+        (0..self.members.len())
+            .map(|other| {
+                usize::from(self.disagrees(member, other))
+                    + usize::from(self.disagrees(other, member))
+            })
+            .sum()
     }
 
-    fn update_member(&mut self, now: Time, who: usize, change: impl FnOnce(&mut Self)) {
-        let before = self.disagreements_with(who);
+    /// Applies a change of a member's state or of views that concern it, and updates the disagreements.
+    fn update_member(&mut self, now: Time, member: usize, change: impl FnOnce(&mut Self)) {
+        let previous = self.disagreements_with(member);
         change(self);
-        self.disagreements = self.disagreements + self.disagreements_with(who) - before;
+        self.disagreements = self.disagreements + self.disagreements_with(member) - previous;
         self.record_agreement(now);
     }
 
     fn record_agreement(&mut self, now: Time) {
-        let together = self.disagreements == 0;
+        let agree = self.disagreements == 0;
         if self
             .agreement_changes
             .last()
-            .is_none_or(|(_, last)| *last != together)
+            .is_none_or(|(_, last)| *last != agree)
             && self.agreement_changes.len() < MAX_CHANGES
         {
-            self.agreement_changes.push((now, together));
+            self.agreement_changes.push((now, agree));
         }
     }
 
     /// Records that a member's process starts, as a new incarnation, or ends.
-    pub fn set_running(&mut self, now: Time, who: usize, up: bool) {
-        if self.members[who].up == up {
+    pub fn set_running(&mut self, now: Time, member: usize, running: bool) {
+        if self.members[member].running == running {
             return;
         }
         let size = self.members.len();
-        self.update_member(now, who, |all| {
-            all.members[who] = Member {
-                up,
-                unreachable_by_all: all.members[who].unreachable_by_all,
+        self.update_member(now, member, |observer| {
+            observer.members[member] = Member {
+                running,
+                unreachable_by_all: observer.members[member].unreachable_by_all,
                 ..Member::default()
             };
-            if up {
+            if running {
                 for other in 0..size {
-                    all.views[who * size + other] = MemberView::Unknown;
-                    all.views[other * size + who] = MemberView::Unknown;
+                    observer.views[member * size + other] = MemberView::Unknown;
+                    observer.views[other * size + member] = MemberView::Unknown;
                 }
             }
         });
-        if up {
+        if running {
             if let Some(death) = self
                 .deaths
-                .remove(&who)
-                .filter(|death| now >= death.at + MIN_KNOWN_DEATH)
+                .remove(&member)
+                .filter(|death| now >= death.at + MIN_DEATH_DURATION)
             {
                 self.never_known += death.unaware as u64;
             }
@@ -213,42 +227,36 @@
         }
         self.death_count += 1;
         // Members that had delisted this one already learn nothing new.
-        let is_delisted = |by: usize| {
+        let is_delisted_by = |viewer: usize| {
             matches!(
-                self.views[by * size + who],
+                self.views[viewer * size + member],
                 MemberView::Dead | MemberView::Left | MemberView::Unknown
             )
         };
-        let needed = (0..size)
-            .filter(|&by| self.members[by].up && !is_delisted(by))
+        let unaware = (0..size)
+            .filter(|&viewer| self.members[viewer].running && !is_delisted_by(viewer))
             .count();
-        for (&of, death) in &mut self.deaths {
+        for (&dead, death) in &mut self.deaths {
             let knows = matches!(
-                self.views[who * size + of],
+                self.views[member * size + dead],
                 MemberView::Dead | MemberView::Left | MemberView::Unknown
             );
             death.unaware -= usize::from(!knows).min(death.unaware);
         }
-        self.deaths.insert(
-            who,
-            Death {
-                at: now,
-                unaware: needed,
-            },
-        );
+        self.deaths.insert(member, Death { at: now, unaware });
     }
 
     /// Records that a member is paused or resumed.
-    pub fn set_paused(&mut self, now: Time, who: usize, still: bool) {
+    pub fn set_paused(&mut self, now: Time, member: usize, paused: bool) {
         let tolerated_pause = self.tolerated_pause;
-        self.update_member(now, who, |all| {
-            let member = &mut all.members[who];
-            match (still, member.paused_since) {
-                (true, None) => member.paused_since = Some(now),
+        self.update_member(now, member, |observer| {
+            let state = &mut observer.members[member];
+            match (paused, state.paused_since) {
+                (true, None) => state.paused_since = Some(now),
                 (false, Some(since)) => {
-                    member.paused_since = None;
+                    state.paused_since = None;
                     if now - since > tolerated_pause {
-                        member.excused_until = now + PROPAGATION_GRACE;
+                        state.excused_until = now + PROPAGATION_GRACE;
                     }
                 }
                 _ => {}
@@ -256,39 +264,39 @@
         });
     }
 
-    /// Updates the partitions, given as a test of ordered pairs. Other members cannot know that a member is
-    /// alive if it cannot reach anybody or be reached by anybody.
+    /// Updates the partitions, given as a test of ordered pairs. A member that can reach no other member, or that no
+    /// other member can reach, may be considered dead, as the others cannot know that it is alive.
     pub fn partition(&mut self, now: Time, is_partitioned: impl Fn(usize, usize) -> bool) {
         let size = self.members.len();
-        for (who, member) in self.members.iter_mut().enumerate() {
-            let mut others = (0..size).filter(|&other| other != who);
-            let off = others.clone().all(|other| is_partitioned(who, other))
-                || others.all(|other| is_partitioned(other, who));
-            if std::mem::replace(&mut member.unreachable_by_all, off) && !off {
-                member.excused_until = member.excused_until.max(now + PROPAGATION_GRACE);
+        for (member, state) in self.members.iter_mut().enumerate() {
+            let mut others = (0..size).filter(|&other| other != member);
+            let unreachable = others.clone().all(|other| is_partitioned(member, other))
+                || others.all(|other| is_partitioned(other, member));
+            if std::mem::replace(&mut state.unreachable_by_all, unreachable) && !unreachable {
+                state.excused_until = state.excused_until.max(now + PROPAGATION_GRACE);
             }
         }
     }
 
     /// Records a member's view on another member's present incarnation.
-    pub fn record_view(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
+    pub fn record_view(&mut self, now: Time, viewer: usize, member: usize, view: MemberView) {
         let size = self.members.len();
-        let disagreements = self.disagrees(by, of);
-        let was = std::mem::replace(&mut self.views[by * size + of], view);
-        if was == view {
+        let disagreed = self.disagrees(viewer, member);
+        let previous = std::mem::replace(&mut self.views[viewer * size + member], view);
+        if previous == view {
             return;
         }
-        self.disagreements =
-            self.disagreements + usize::from(self.disagrees(by, of)) - usize::from(disagreements);
+        self.disagreements = self.disagreements + usize::from(self.disagrees(viewer, member))
+            - usize::from(disagreed);
         self.record_agreement(now);
         let is_delisted = |view| matches!(view, MemberView::Dead | MemberView::Left);
-        if self.members[of].up {
-            return self.check_false_death(now, by, of, view);
+        if self.members[member].running {
+            return self.check_false_death(now, viewer, member, view);
         }
         if let Some(death) = self
             .deaths
-            .get_mut(&of)
-            .filter(|_| is_delisted(view) && !is_delisted(was))
+            .get_mut(&member)
+            .filter(|_| is_delisted(view) && !is_delisted(previous))
         {
             let ms = now.saturating_sub(death.at) / 1_000_000;
             self.known.record(ms).ok();
@@ -299,27 +307,28 @@
         }
     }
 
-    fn check_false_death(&mut self, now: Time, by: usize, of: usize, view: MemberView) {
-        let (tolerated_pause, member) = (self.tolerated_pause, &mut self.members[of]);
+    /// Counts a false death if a view calls a running member dead and nothing excuses the view.
+    fn check_false_death(&mut self, now: Time, viewer: usize, member: usize, view: MemberView) {
+        let (tolerated_pause, state) = (self.tolerated_pause, &mut self.members[member]);
         if view != MemberView::Dead {
-            member.falsely_dead &= view != MemberView::Alive;
+            state.falsely_dead &= view != MemberView::Alive;
             return;
         }
-        let sleeps = member
+        let paused_too_long = state
             .paused_since
             .is_some_and(|since| now - since > tolerated_pause);
-        if member.unreachable_by_all
-            || sleeps
-            || now < member.excused_until
-            || std::mem::replace(&mut member.falsely_dead, true)
+        if state.unreachable_by_all
+            || paused_too_long
+            || now < state.excused_until
+            || std::mem::replace(&mut state.falsely_dead, true)
         {
             return;
         }
         self.false_deaths += 1;
         if self.false_death_details.len() < MAX_DETAILS {
-            let at = now as f64 / SECOND as f64;
+            let seconds = now as f64 / SECOND as f64;
             self.false_death_details.push(format!(
-                "{at:.3} s: {by} record_view {of} for dead, which is there"
+                "{seconds:.3} s: {viewer} record_view {member} for dead, which is there"
             ));
         }
     }
@@ -331,46 +340,48 @@
         now: Time,
         pairs: impl Iterator<Item = (bool, bool, bool)>,
     ) {
-        let (mut partitioned, mut named, mut wrongly) = (0_u64, 0_u64, 0_u64);
+        let (mut partitioned, mut reported, mut falsely_reported) = (0_u64, 0_u64, 0_u64);
         for (is_partitioned, by_first, by_second) in pairs {
             partitioned += u64::from(is_partitioned);
-            named += u64::from(is_partitioned && by_first && by_second);
-            wrongly += u64::from(!is_partitioned && (by_first || by_second));
+            reported += u64::from(is_partitioned && by_first && by_second);
+            falsely_reported += u64::from(!is_partitioned && (by_first || by_second));
         }
         if partitioned > 0 {
-            self.partitions_reported
-                .push((now, (named as f64 - wrongly as f64) / partitioned as f64));
+            self.partitions_reported.push((
+                now,
+                (reported as f64 - falsely_reported as f64) / partitioned as f64,
+            ));
         }
     }
 
-    /// All ordered pairs of active members that have spoken.
-    pub fn pairs(&self, has_spoken: impl Fn(usize) -> bool) -> Vec<(usize, usize)> {
-        let there: Vec<usize> = (0..self.members.len())
-            .filter(|&who| self.is_active(who) && has_spoken(who))
+    /// All ordered pairs of active members that have reported their views.
+    pub fn pairs(&self, has_reported: impl Fn(usize) -> bool) -> Vec<(usize, usize)> {
+        let reporting: Vec<usize> = (0..self.members.len())
+            .filter(|&member| self.is_active(member) && has_reported(member))
             .collect();
-        let pairs = there
+        let pairs = reporting
             .iter()
-            .flat_map(|&from| there.iter().map(move |&to| (from, to)));
+            .flat_map(|&from| reporting.iter().map(move |&to| (from, to)));
         pairs.filter(|(from, to)| from != to).collect()
     }
 
     /// Whether a member is running and not paused.
-    pub fn is_active(&self, who: usize) -> bool {
-        self.members[who].up && self.members[who].paused_since.is_none()
+    pub fn is_active(&self, member: usize) -> bool {
+        self.members[member].running && self.members[member].paused_since.is_none()
     }
 
-    /// Finishes the observation. `bytes` are the bytes that each member sent during `over`.
-    pub fn end(mut self, now: Time, bytes: &[u64], over: Time) -> MembershipReport {
-        let open: usize = self
+    /// Finishes the observation. `bytes_sent` are the bytes that each member sent during `duration`.
+    pub fn end(mut self, now: Time, bytes_sent: &[u64], duration: Time) -> MembershipReport {
+        let unaware: usize = self
             .deaths
             .values()
-            .filter(|death| now >= death.at + MIN_KNOWN_DEATH)
+            .filter(|death| now >= death.at + MIN_DEATH_DURATION)
             .map(|death| death.unaware)
             .sum();
-        self.never_known += open as u64;
+        self.never_known += unaware as u64;
         let seconds = |time: Time| time as f64 / SECOND as f64;
-        let rate = |bytes: u64| bytes as f64 / seconds(over).max(1e-9);
-        let mean = rate(bytes.iter().sum()) / bytes.len().max(1) as f64;
+        let rate = |bytes: u64| bytes as f64 / seconds(duration).max(1e-9);
+        let mean = rate(bytes_sent.iter().sum()) / bytes_sent.len().max(1) as f64;
         MembershipReport {
             false_deaths: self.false_deaths,
             false_death_details: self.false_death_details,
@@ -381,16 +392,19 @@
             agreement_changes: self
                 .agreement_changes
                 .iter()
-                .map(|(at, is)| (seconds(*at), *is))
+                .map(|(time, agree)| (seconds(*time), *agree))
                 .collect(),
             partitions_reported: self
                 .partitions_reported
                 .iter()
-                .map(|(at, part)| (seconds(*at), *part))
+                .map(|(time, fraction)| (seconds(*time), *fraction))
                 .collect(),
             bytes_per_second: (
                 mean,
-                bytes.iter().map(|bytes| rate(*bytes)).fold(0.0, f64::max),
+                bytes_sent
+                    .iter()
+                    .map(|bytes| rate(*bytes))
+                    .fold(0.0, f64::max),
             ),
         }
     }
@@ -400,11 +414,11 @@
     /// Seconds after `from` until all running members agreed, if they still agreed `within` seconds after
     /// `from`.
     pub fn agreement_after(&self, from: f64, within: f64) -> Option<f64> {
-        let last = self
+        let &(changed_at, agree) = self
             .agreement_changes
             .iter()
-            .rfind(|(at, _)| *at <= from + within)?;
-        last.1.then_some((last.0 - from).max(0.0))
+            .rfind(|(time, _)| *time <= from + within)?;
+        agree.then_some((changed_at - from).max(0.0))
     }
 }
 
