--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -10,7 +10,7 @@
 
 /// Grace period for an answer after the deadline: the engine's deadline guard plus one step of the timers.
 pub const RESPONSE_GRACE: Time = 40 * MS;
-/// Time after which a balancer must send nothing new to an upstream that it knows to be draining or removed.
+/// Time for which a balancer may still send new attempts to an upstream that it knows to be draining or removed.
 pub const DRAIN_GRACE: Time = SECOND;
 /// Maximum number of breaches reported in full; further ones are only counted.
 const MAX_REPORTED: usize = 20;
@@ -19,11 +19,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Rule 1: one final answer in time, and nothing sent afterwards.
+    /// Rule 1: each request gets one final answer in time, and nothing is sent for it afterwards.
     OneAnswer,
-    /// Rule 2: no effect happens twice, and none after a refusal.
+    /// Rule 2: no request takes effect twice, and none takes effect after its refusal.
     NoEffectTwice,
-    /// Rule 3: nothing new is sent to a draining or removed upstream more than 1 s after the balancer was told.
+    /// Rule 3: a balancer sends nothing new to an upstream more than 1 s after it was told that the upstream is
+    /// draining or removed.
     Drained,
     /// Rule 4: no cold upstream is overloaded.
     Cold,
@@ -72,16 +73,17 @@
     call: u64,
     effect: CallEffect,
     deadline: Time,
-    answered: u32,
+    answer_count: u32,
     refused: bool,
     open_attempts: u32,
     effect_count: u32,
+    /// The missing answer was reported as a breach already.
     reported_overdue: bool,
 }
 
-/// Latest information that a balancer has on the process at a host.
+/// Latest information that a balancer was given on the process at a host.
 #[derive(Clone, Copy, Default)]
-struct Notified {
+struct HostNotice {
     /// Start time of the process, in milliseconds of Unix time.
     boot_ms: u64,
     /// When the balancer was told that the process drains or is removed.
@@ -93,7 +95,7 @@
 pub struct Auditor {
     requests: SequenceMap<AuditedRequest>,
     /// Latest information on each host, by balancer and host number.
-    notified: Vec<Vec<Notified>>,
+    notices: Vec<Vec<HostNotice>>,
     breaches: Vec<Breach>,
     breach_counts: [u64; 5],
 }
@@ -113,23 +115,22 @@
 
     /// Registers a request that reached a balancer, and returns its number. Requests are numbered from 0.
     pub fn request_received(&mut self, call: u64, effect: CallEffect, deadline: Time) -> u64 {
-        let (answered, refused, out, ran, overdue) = (0, false, 0, 0, false);
         self.requests.add(AuditedRequest {
             call,
             effect,
             deadline,
-            answered,
-            refused,
-            open_attempts: out,
-            effect_count: ran,
-            reported_overdue: overdue,
+            answer_count: 0,
+            refused: false,
+            open_attempts: 0,
+            effect_count: 0,
+            reported_overdue: false,
         })
     }
 
     /// Checks a balancer's answer. `stalled` is the length of a recent pause of the balancer's process, which
     /// extends the grace period.
-    pub fn answered(&mut self, now: Time, request: u64, verdict: &CallResult<()>, stalled: Time) {
-        let Some(case) = self.requests.get_mut(request) else {
+    pub fn answered(&mut self, now: Time, request: u64, result: &CallResult<()>, stalled: Time) {
+        let Some(audited) = self.requests.get_mut(request) else {
             return self.record_breach(
                 Rule::OneAnswer,
                 now,
@@ -137,18 +138,18 @@
                 format!("request {request} was answered again, after it was over"),
             );
         };
-        case.answered += 1;
-        let (call, answered, ran, out) = (
-            case.call,
-            case.answered,
-            case.effect_count,
-            case.open_attempts,
+        audited.answer_count += 1;
+        let (call, answer_count, effect_count, open_attempts) = (
+            audited.call,
+            audited.answer_count,
+            audited.effect_count,
+            audited.open_attempts,
         );
-        let late = now.saturating_sub(case.deadline);
-        let repeats = case.effect != CallEffect::Safe;
-        if let CallResult::Rejected(_) = verdict {
-            case.refused = true;
-            if repeats && ran > 0 {
+        let late = now.saturating_sub(audited.deadline);
+        let may_run_again = audited.effect == CallEffect::Safe;
+        if let CallResult::Rejected(_) = result {
+            audited.refused = true;
+            if !may_run_again && effect_count > 0 {
                 self.record_breach(
                     Rule::NoEffectTwice,
                     now,
@@ -157,40 +158,40 @@
                 );
             }
         }
-        if answered > 1 {
+        if answer_count > 1 {
             self.record_breach(
                 Rule::OneAnswer,
                 now,
                 Some(call),
-                format!("answered {answered} times"),
+                format!("answered {answer_count} times"),
             );
         } else if late > RESPONSE_GRACE + stalled {
-            let late = late / MS;
+            let late_ms = late / MS;
             self.record_breach(
                 Rule::OneAnswer,
                 now,
                 Some(call),
-                format!("answered {late} ms past its time"),
+                format!("answered {late_ms} ms past its time"),
             );
         }
-        self.remove_if_finished(request, out);
+        self.remove_if_finished(request, open_attempts);
     }
 
-    /// Closes a request that needs no answer any more, because its balancer died or its caller left.
+    /// Closes a request that no longer needs an answer, because its balancer died or its caller left.
     pub fn request_abandoned(&mut self, request: u64) {
-        if let Some(case) = self.requests.get_mut(request) {
-            case.answered = 1;
-            let out = case.open_attempts;
-            self.remove_if_finished(request, out);
+        if let Some(audited) = self.requests.get_mut(request) {
+            audited.answer_count = 1;
+            let open_attempts = audited.open_attempts;
+            self.remove_if_finished(request, open_attempts);
         }
     }
 
-    fn remove_if_finished(&mut self, request: u64, out: u32) {
-        if out == 0
+    fn remove_if_finished(&mut self, request: u64, open_attempts: u32) {
+        if open_attempts == 0
             && self
                 .requests
                 .get(request)
-                .is_some_and(|case| case.answered > 0)
+                .is_some_and(|audited| audited.answer_count > 0)
         {
             self.requests.take(request);
         }
@@ -199,31 +200,31 @@
     /// Registers what a balancer was told of the process at a host.
     pub fn notified(&mut self, now: Time, balancer: usize, host: u32, boot_ms: u64, ready: bool) {
         let host = host as usize;
-        if self.notified.len() <= balancer {
-            self.notified.resize_with(balancer + 1, Vec::new);
+        if self.notices.len() <= balancer {
+            self.notices.resize_with(balancer + 1, Vec::new);
         }
-        let notified = &mut self.notified[balancer];
-        if notified.len() <= host {
-            notified.resize(host + 1, Notified::default());
+        let host_notices = &mut self.notices[balancer];
+        if host_notices.len() <= host {
+            host_notices.resize(host + 1, HostNotice::default());
         }
-        let notified = &mut notified[host];
-        notified.boot_ms = boot_ms;
-        notified.unready_since = match ready {
+        let notice = &mut host_notices[host];
+        notice.boot_ms = boot_ms;
+        notice.unready_since = match ready {
             true => None,
-            false => notified.unready_since.or(Some(now)),
+            false => notice.unready_since.or(Some(now)),
         };
     }
 
     /// Clears what a balancer was told, as its new process receives the list anew.
     pub fn balancer_restarted(&mut self, balancer: usize) {
-        if let Some(notified) = self.notified.get_mut(balancer) {
-            notified.clear();
+        if let Some(host_notices) = self.notices.get_mut(balancer) {
+            host_notices.clear();
         }
     }
 
     /// Checks an attempt that a balancer sends.
     pub fn sent(&mut self, now: Time, request: u64, balancer: usize, host: u32) {
-        let Some(case) = self.requests.get_mut(request) else {
+        let Some(audited) = self.requests.get_mut(request) else {
             return self.record_breach(
                 Rule::OneAnswer,
                 now,
@@ -231,9 +232,10 @@
                 format!("sent for request {request}, which is over"),
             );
         };
-        case.open_attempts += 1;
-        let (call, answered, late) = (case.call, case.answered, now.saturating_sub(case.deadline));
-        if answered > 0 || late > RESPONSE_GRACE {
+        audited.open_attempts += 1;
+        let (call, answer_count) = (audited.call, audited.answer_count);
+        let late = now.saturating_sub(audited.deadline);
+        if answer_count > 0 || late > RESPONSE_GRACE {
             self.record_breach(
                 Rule::OneAnswer,
                 now,
@@ -241,36 +243,36 @@
                 "sent for a request that is over".to_owned(),
             );
         }
-        let notified = self
-            .notified
+        let notice = self
+            .notices
             .get(balancer)
-            .and_then(|notified| notified.get(host as usize));
-        if let Some(since) = notified.and_then(|notified| notified.unready_since)
+            .and_then(|host_notices| host_notices.get(host as usize));
+        if let Some(since) = notice.and_then(|notice| notice.unready_since)
             && now > since + DRAIN_GRACE
         {
-            let after = (now - since) as f64 / SECOND as f64;
+            let seconds = (now - since) as f64 / SECOND as f64;
             let text =
-                format!("sent to host {host} {after:.3} s after it was told to drain, or gone");
+                format!("sent to host {host} {seconds:.3} s after it was told to drain, or gone");
             self.record_breach(Rule::Drained, now, Some(call), text);
         }
     }
 
     /// Checks an attempt that took effect. Repeats of keyed work that upstreams dropped are not reported here.
     pub fn effect_happened(&mut self, now: Time, request: u64) {
-        let Some(case) = self.requests.get_mut(request) else {
+        let Some(audited) = self.requests.get_mut(request) else {
             return;
         };
-        case.effect_count += 1;
-        let (call, ran, refused) = (case.call, case.effect_count, case.refused);
-        if case.effect == CallEffect::Safe {
+        audited.effect_count += 1;
+        let (call, effect_count, refused) = (audited.call, audited.effect_count, audited.refused);
+        if audited.effect == CallEffect::Safe {
             return;
         }
-        if ran > 1 {
+        if effect_count > 1 {
             self.record_breach(
                 Rule::NoEffectTwice,
                 now,
                 Some(call),
-                format!("had its effect {ran} times"),
+                format!("had its effect {effect_count} times"),
             );
         } else if refused {
             self.record_breach(
@@ -284,16 +286,16 @@
 
     /// Registers that an attempt has ended both at its balancer and at its upstream.
     pub fn attempt_over(&mut self, now: Time, request: u64) {
-        let Some(case) = self.requests.get_mut(request) else {
+        let Some(audited) = self.requests.get_mut(request) else {
             return;
         };
-        match case.open_attempts.checked_sub(1) {
-            Some(out) => {
-                case.open_attempts = out;
-                self.remove_if_finished(request, out);
+        match audited.open_attempts.checked_sub(1) {
+            Some(open_attempts) => {
+                audited.open_attempts = open_attempts;
+                self.remove_if_finished(request, open_attempts);
             }
             None => {
-                let call = case.call;
+                let call = audited.call;
                 self.record_breach(
                     Rule::Conservation,
                     now,
@@ -304,25 +306,26 @@
         }
     }
 
-    /// Reports that a cold upstream was overloaded. `part` is the received load relative to the overload
+    /// Reports that a cold upstream was overloaded. `relative_load` is the received load relative to the overload
     /// threshold.
-    pub fn cold_overload(&mut self, now: Time, upstream: &str, part: f64) {
-        let text = format!("{upstream} was sent {part:.2} of what pushes it over");
+    pub fn cold_overload(&mut self, now: Time, upstream: &str, relative_load: f64) {
+        let text = format!("{upstream} was sent {relative_load:.2} of what pushes it over");
         self.record_breach(Rule::Cold, now, None, text);
     }
 
     /// Reports requests that are overdue without an answer. `stalled` extends the grace period as in
     /// [`Self::answered`].
     pub fn check_overdue(&mut self, now: Time, stalled: Time) {
-        let late = |case: &AuditedRequest| now > case.deadline + RESPONSE_GRACE + stalled;
-        let open = self
-            .requests
-            .iter()
-            .filter(|(_, case)| case.answered == 0 && !case.reported_overdue && late(case));
-        let open: Vec<_> = open.map(|(request, case)| (request, case.call)).collect();
-        for (request, call) in open {
-            if let Some(case) = self.requests.get_mut(request) {
-                case.reported_overdue = true;
+        let is_late = |audited: &AuditedRequest| now > audited.deadline + RESPONSE_GRACE + stalled;
+        let overdue = self.requests.iter().filter(|(_, audited)| {
+            audited.answer_count == 0 && !audited.reported_overdue && is_late(audited)
+        });
+        let overdue: Vec<_> = overdue
+            .map(|(request, audited)| (request, audited.call))
+            .collect();
+        for (request, call) in overdue {
+            if let Some(audited) = self.requests.get_mut(request) {
+                audited.reported_overdue = true;
             }
             self.record_breach(
                 Rule::OneAnswer,
@@ -336,13 +339,16 @@
     /// Checks at the end of the run that nothing is open. `open` is the number of requests that the balancers
     /// count as open.
     pub fn end(&mut self, now: Time, open: usize) {
-        let cases = self
+        let unfinished_calls = self
             .requests
             .iter()
-            .map(|(_, case)| case.call)
+            .map(|(_, audited)| audited.call)
             .collect::<Vec<_>>();
-        if let Some(&call) = cases.first() {
-            let text = format!("{} requests are not over at the end", cases.len());
+        if let Some(&call) = unfinished_calls.first() {
+            let text = format!(
+                "{} requests are not over at the end",
+                unfinished_calls.len()
+            );
             self.record_breach(Rule::Conservation, now, Some(call), text);
         }
         if open > 0 {
