--- a/crates/emulator/src/baseline/config.rs
+++ b/crates/emulator/src/baseline/config.rs
@@ -64,6 +64,7 @@
     pub retries: RetryPolicy,
 }
 
+/// Name of each selection in the name of a policy.
 const SELECTION_NAMES: [(&str, ServerSelection); 6] = [
     ("random", ServerSelection::Random),
     ("round-robin", ServerSelection::RoundRobin),
@@ -77,7 +78,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = SELECTION_NAMES
             .iter()
-            .find(|(_, pick)| *pick == self.selection)
+            .find(|(_, selection)| *selection == self.selection)
             .map_or("", |(name, _)| name);
         f.write_str(name)?;
         f.write_str(if self.ejects_outliers { "+outlier" } else { "" })?;
@@ -100,7 +101,7 @@
     fn from_str(text: &str) -> Result<Self, PolicyError> {
         let mut parts = text.split('+');
         let name = parts.next().unwrap_or_default();
-        let Some((_, pick)) = SELECTION_NAMES.iter().find(|(known, _)| *known == name) else {
+        let Some((_, selection)) = SELECTION_NAMES.iter().find(|(known, _)| *known == name) else {
             let known: Vec<_> = SELECTION_NAMES.iter().map(|(known, _)| *known).collect();
             return Err(PolicyError::UnknownPolicy {
                 name: name.to_owned(),
@@ -108,20 +109,20 @@
             });
         };
         let mut config = Self {
-            selection: *pick,
+            selection: *selection,
             ejects_outliers: false,
             limit: ConcurrencyLimit::None,
             retries: RetryPolicy::Never,
         };
-        for part in parts {
-            match part {
+        for option in parts {
+            match option {
                 "outlier" => config.ejects_outliers = true,
                 "aimd" => config.limit = ConcurrencyLimit::Aimd,
                 "gradient" => config.limit = ConcurrencyLimit::Gradient,
                 "retries" => config.retries = RetryPolicy::Fixed,
                 "budget" => config.retries = RetryPolicy::Budget,
                 _ => {
-                    return Err(PolicyError::UnknownAddition(part.to_owned()));
+                    return Err(PolicyError::UnknownAddition(option.to_owned()));
                 }
             }
         }
--- a/crates/emulator/src/baseline/learning.rs
+++ b/crates/emulator/src/baseline/learning.rs
@@ -19,48 +19,49 @@
 impl Server {
     /// Updates the peak-sensitive average with a latency in nanoseconds: a higher value replaces the average at
     /// once, a lower one enters with decay.
-    fn observe_latency(&mut self, now: Time, took: f64) {
-        let age = now.saturating_sub(self.cost_at) as f64;
+    fn observe_latency(&mut self, now: Time, latency: f64) {
+        let age = now.saturating_sub(self.peak_latency_at) as f64;
         let weight = (-age / DECAY).exp();
-        self.cost = if took > self.cost {
-            took
+        self.peak_latency = if latency > self.peak_latency {
+            latency
         } else {
-            self.cost * weight + took * (1.0 - weight)
+            self.peak_latency * weight + latency * (1.0 - weight)
         };
-        self.cost_at = now;
+        self.peak_latency_at = now;
     }
 }
 
 impl BaselinePolicy {
-    pub(super) fn learn(&mut self, now: Time, at: usize, took: Time, outcome: Outcome) {
+    /// Updates the state with the end of an attempt at the server with position `index`.
+    pub(super) fn learn(&mut self, now: Time, index: usize, latency: Time, outcome: Outcome) {
         self.in_flight -= 1;
-        let ribbon = self.config.selection == ServerSelection::Ribbon;
-        let server = &mut self.servers[at];
+        let is_ribbon = self.config.selection == ServerSelection::Ribbon;
+        let server = &mut self.servers[index];
         server.in_flight = server.in_flight.saturating_sub(1);
-        let connection = matches!(
+        let connection_failed = matches!(
             outcome,
             Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset
         );
-        let failed = connection || outcome == Outcome::Error;
+        let failed = connection_failed || outcome == Outcome::Error;
         match outcome {
             Outcome::Ok | Outcome::Declined => (server.failures, server.trips) = (0, 0),
-            _ if if ribbon { connection } else { failed } => server.failures += 1,
+            _ if if is_ribbon { connection_failed } else { failed } => server.failures += 1,
             _ => {}
         }
-        if ribbon && server.failures >= TRIP_FAILURES {
+        if is_ribbon && server.failures >= TRIP_FAILURES {
             let open_for = (TRIP_TIME << server.trips.min(4)).min(TRIP_TIME_MAX);
-            (server.out_until, server.trips) = (now + open_for, server.trips + 1);
+            (server.unavailable_until, server.trips) = (now + open_for, server.trips + 1);
         } else if self.config.ejects_outliers && server.failures >= EJECT_FAILURES {
-            self.eject(now, at);
+            self.eject(now, index);
         }
-        let took = took as f64;
+        let latency = latency as f64;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Error) {
-            self.servers[at].observe_latency(now, took);
+            self.servers[index].observe_latency(now, latency);
         }
         match self.config.limit {
             ConcurrencyLimit::None => {}
             ConcurrencyLimit::Aimd => self.adapt_aimd(failed || outcome == Outcome::Full),
-            ConcurrencyLimit::Gradient => self.adapt_gradient(took, outcome),
+            ConcurrencyLimit::Gradient => self.adapt_gradient(latency, outcome),
         }
     }
 
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Updates the gradient limit; `took` is the latency in nanoseconds.
-    fn adapt_gradient(&mut self, took: f64, outcome: Outcome) {
+    /// Updates the gradient limit with a latency in nanoseconds.
+    fn adapt_gradient(&mut self, latency: f64, outcome: Outcome) {
         if outcome == Outcome::Full {
             self.limit = (0.9 * self.limit).max(4.0);
         }
@@ -87,14 +88,14 @@
         }
         let (short, long) = (&mut self.short_latency, &mut self.long_latency);
         *short = if *short == 0.0 {
-            took
+            latency
         } else {
-            *short + 0.1 * (took - *short)
+            *short + 0.1 * (latency - *short)
         };
         *long = if *long == 0.0 {
-            took
+            latency
         } else {
-            *long + 0.002 * (took - *long)
+            *long + 0.002 * (latency - *long)
         };
         if *long / *short > 2.0 {
             *long *= 0.95;
@@ -107,16 +108,17 @@
     }
 
     /// Ejects a server for a while, unless too many servers are ejected already.
-    fn eject(&mut self, now: Time, at: usize) {
-        let out = self
+    fn eject(&mut self, now: Time, index: usize) {
+        let ejected = self
             .ready
             .iter()
-            .filter(|&&at| self.servers[at].out_until > now)
+            .filter(|&&other| self.servers[other].unavailable_until > now)
             .count();
-        if (out as f64) < (MAX_EJECTED_FRACTION * self.ready.len() as f64).max(1.0) {
-            let server = &mut self.servers[at];
+        if (ejected as f64) < (MAX_EJECTED_FRACTION * self.ready.len() as f64).max(1.0) {
+            let server = &mut self.servers[index];
             server.trips += 1;
-            (server.out_until, server.failures) = (now + EJECT_TIME * Time::from(server.trips), 0);
+            (server.unavailable_until, server.failures) =
+                (now + EJECT_TIME * Time::from(server.trips), 0);
         }
     }
 }
--- a/crates/emulator/src/baseline/mod.rs
+++ b/crates/emulator/src/baseline/mod.rs
@@ -1,7 +1,7 @@
 //! Baseline policies with the engine's interface, written from their public descriptions. Each policy combines
 //! a server selection with optional outlier ejection, a concurrency limit and a retry rule. [`BaselinePolicy`]
-//! holds the parts that all policies share: the upstream list, the calls, and the time limits. No policy
-//! repeats work that must not run twice, so that the policies are compared by the calls that they serve.
+//! holds what all policies share: the upstream list, the open calls, and the deadlines. No policy repeats work that
+//! must not run twice, so that the policies are compared by the calls that they serve.
 
 mod config;
 mod error;
@@ -32,6 +32,7 @@
 /// Retry-after advice for calls refused by a limit.
 const RETRY_AFTER: Time = 200 * MS;
 
+/// State of a listed server.
 #[derive(Clone, Debug)]
 struct Server {
     id: ServerId,
@@ -45,20 +46,24 @@
     /// Consecutive ejections, or openings of Ribbon's circuit breaker.
     trips: u32,
     /// Time until which the server is not selected.
-    out_until: Time,
-    cost: f64,
-    cost_at: Time,
+    unavailable_until: Time,
+    /// Peak-sensitive moving average of the latency, in nanoseconds; 0 while no latency is known.
+    peak_latency: f64,
+    /// Time at which `peak_latency` was updated last.
+    peak_latency_at: Time,
 }
 
+/// A call that has no answer yet.
 struct OpenCall {
     ticket: Ticket,
     class: usize,
     deadline: Time,
     attempts: u32,
-    most: u32,
-    /// Server of the attempt in flight, and the time when the attempt was sent.
-    out: Option<(usize, Time)>,
-    last: Option<usize>,
+    max_attempts: u32,
+    /// Position of the server of the attempt in flight, and the time when the attempt was sent.
+    in_flight: Option<(usize, Time)>,
+    /// Position of the server of the latest attempt.
+    last_server: Option<usize>,
     may_have_run: bool,
 }
 
@@ -67,17 +72,24 @@
     config: BaselineConfig,
     settings: Settings,
     rng: ChaCha8Rng,
+    /// Position of each listed server by its name.
     by_name: BTreeMap<String, usize>,
+    /// All servers that were ever listed.
     servers: Vec<Server>,
+    /// Positions of the servers that are ready and have an address.
     ready: Vec<usize>,
+    /// Place in `ready` from which the round-robin order continues.
     cursor: usize,
-    open: HashMap<RequestId, OpenCall>,
+    open_calls: HashMap<RequestId, OpenCall>,
     commands: VecDeque<Command<Ticket, ()>>,
+    /// Tokens in the retry budget.
     tokens: f64,
+    /// Concurrency limit, in calls.
     limit: f64,
     in_flight: u32,
     /// Short-term moving average of the latency, in nanoseconds; 0 before the first call.
     short_latency: f64,
+    /// Long-term moving average of the latency, in nanoseconds; 0 before the first call.
     long_latency: f64,
 }
 
@@ -92,7 +104,7 @@
             servers: Vec::new(),
             ready: Vec::new(),
             cursor: 0,
-            open: HashMap::new(),
+            open_calls: HashMap::new(),
             commands: VecDeque::new(),
             tokens: BUDGET_MAX,
             limit: 20.0,
@@ -102,18 +114,19 @@
         }
     }
 
-    fn on_listed(&mut self, entries: &[UpstreamEntry], all: bool) {
-        if all {
+    /// Applies an update of the upstream list, or the complete list if `is_complete`.
+    fn on_listed(&mut self, entries: &[UpstreamEntry], is_complete: bool) {
+        if is_complete {
             self.servers
                 .iter_mut()
                 .for_each(|server| server.ready = false);
         }
         for entry in entries {
-            let next = self.servers.len();
-            let at = *self.by_name.entry(entry.name.clone()).or_insert(next);
-            if at == next {
+            let next_index = self.servers.len();
+            let index = *self.by_name.entry(entry.name.clone()).or_insert(next_index);
+            if index == next_index {
                 self.servers.push(Server {
-                    id: ServerId(next as u32 + 1),
+                    id: ServerId(next_index as u32 + 1),
                     address: None,
                     boot_ms: 0,
                     zone: 0,
@@ -121,19 +134,20 @@
                     in_flight: 0,
                     failures: 0,
                     trips: 0,
-                    out_until: 0,
-                    cost: 0.0,
-                    cost_at: 0,
+                    unavailable_until: 0,
+                    peak_latency: 0.0,
+                    peak_latency_at: 0,
                 });
             }
-            let server = &mut self.servers[at];
+            let server = &mut self.servers[index];
             let ready = entry.lifecycle == Lifecycle::Ready;
             if !ready || server.boot_ms != entry.boot_ms || server.address != entry.address {
                 self.commands
                     .push_back(Command::RetireConnections(server.id));
             }
             if server.boot_ms != entry.boot_ms {
-                (server.failures, server.trips, server.out_until, server.cost) = (0, 0, 0, 0.0);
+                (server.failures, server.trips) = (0, 0);
+                (server.unavailable_until, server.peak_latency) = (0, 0.0);
             }
             (server.address, server.boot_ms, server.ready) = (entry.address, entry.boot_ms, ready);
             server.zone = entry.zone.map_or(0, |zone| usize::from(zone.0));
@@ -143,10 +157,10 @@
         }
         let servers = &self.servers;
         self.ready = (0..servers.len())
-            .filter(|&at| servers[at].ready && servers[at].address.is_some())
+            .filter(|&index| servers[index].ready && servers[index].address.is_some())
             .collect();
         // A random start keeps balancers that start together from choosing the same first server.
-        if all && !self.ready.is_empty() {
+        if is_complete && !self.ready.is_empty() {
             self.cursor = self.rng.random_range(..self.ready.len());
         }
     }
@@ -157,14 +171,14 @@
             request: ticket,
             class,
             deadline,
-            max_attempts: most,
+            max_attempts,
             ..
         } = call;
         let refused = |retry_after| Command::Respond {
             request: ticket,
             result: CallResult::Rejected(retry_after),
         };
-        if deadline <= now || most == 0 {
+        if deadline <= now || max_attempts == 0 {
             return self.commands.push_back(refused(0));
         }
         self.tokens = (self.tokens + BUDGET_EARNED).min(BUDGET_MAX);
@@ -173,38 +187,39 @@
                 .commands
                 .push_back(refused(RETRY_AFTER.min(self.settings.max_retry_after)));
         }
-        let most = most.min(self.settings.max_attempts);
+        let max_attempts = max_attempts.min(self.settings.max_attempts);
         let open = OpenCall {
             ticket,
             class,
             deadline,
             attempts: 0,
-            most,
-            out: None,
-            last: None,
+            max_attempts,
+            in_flight: None,
+            last_server: None,
             may_have_run: false,
         };
-        self.open.insert(id, open);
+        self.open_calls.insert(id, open);
         self.attempt(now, id);
     }
 
+    /// Sends the next attempt of a call to the selected server.
     fn attempt(&mut self, now: Time, id: RequestId) {
-        let last = self.open.get(&id).and_then(|open| open.last);
-        let picked = self.pick(now, last);
-        let Some(open) = self.open.get_mut(&id) else {
+        let last_server = self.open_calls.get(&id).and_then(|open| open.last_server);
+        let picked = self.pick(now, last_server);
+        let Some(open) = self.open_calls.get_mut(&id) else {
             return;
         };
-        let Some(at) = picked else {
+        let Some(index) = picked else {
             return self.finish_without_response(id);
         };
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         let Some(address) = server.address else {
             return self.finish_without_response(id);
         };
         server.in_flight += 1;
         self.in_flight += 1;
-        (open.out, open.last) = (Some((at, now)), Some(at));
-        let (attempt, until) = (open.attempts, open.deadline);
+        (open.in_flight, open.last_server) = (Some((index, now)), Some(index));
+        let (attempt, deadline) = (open.attempts, open.deadline);
         open.attempts += 1;
         let to = Peer {
             server: server.id,
@@ -215,49 +230,51 @@
             id,
             attempt,
             to,
-            until,
+            until: deadline,
             begin_by: Time::MAX,
-            deadline: until,
+            deadline,
         };
         self.commands.push_back(Command::SendAttempt(send));
     }
 
+    /// Answers a call that was not served: refused if it may run again, and failed otherwise.
     fn finish_without_response(&mut self, id: RequestId) {
-        let Some(open) = self.open.remove(&id) else {
+        let Some(open) = self.open_calls.remove(&id) else {
             return;
         };
-        let safe = self
+        let is_safe = self
             .settings
             .classes
             .get(open.class)
             .is_some_and(|class| class.effect == Effect::Safe);
-        let verdict = match safe || !open.may_have_run {
+        let result = match is_safe || !open.may_have_run {
             true => CallResult::Rejected(RETRY_AFTER.min(self.settings.max_retry_after)),
             false => CallResult::Failed,
         };
         self.commands.push_back(Command::Respond {
             request: open.ticket,
-            result: verdict,
+            result,
         });
     }
 
-    fn on_ended(&mut self, now: Time, id: RequestId, attempt: u32, ended: &AttemptEnd<()>) {
+    fn on_ended(&mut self, now: Time, id: RequestId, attempt: u32, end: &AttemptEnd<()>) {
         let Some(open) = self
-            .open
+            .open_calls
             .get_mut(&id)
             .filter(|open| open.attempts == attempt + 1)
         else {
             return;
         };
-        let Some((at, sent)) = open.out.take() else {
+        let Some((server, sent_at)) = open.in_flight.take() else {
             return;
         };
-        let (class, outcome, deadline) = (open.class, ended.outcome, open.deadline);
+        let (class, outcome, deadline) = (open.class, end.outcome, open.deadline);
         open.may_have_run |= !outcome.never_ran();
-        let (may_have_run, attempts, most) = (open.may_have_run, open.attempts, open.most);
-        self.learn(now, at, now - sent, outcome);
-        if ended.response.is_some() {
-            let Some(open) = self.open.remove(&id) else {
+        let (may_have_run, attempts, max_attempts) =
+            (open.may_have_run, open.attempts, open.max_attempts);
+        self.learn(now, server, now - sent_at, outcome);
+        if end.response.is_some() {
+            let Some(open) = self.open_calls.remove(&id) else {
                 return;
             };
             let answer = Command::Respond {
@@ -266,17 +283,17 @@
             };
             return self.commands.push_back(answer);
         }
-        let safe = self
+        let is_safe = self
             .settings
             .classes
             .get(class)
             .is_some_and(|class| class.effect == Effect::Safe);
-        let granted = match self.config.retries {
+        let is_granted = match self.config.retries {
             RetryPolicy::Never => false,
             RetryPolicy::Fixed => true,
             RetryPolicy::Budget => self.tokens >= 1.0,
         };
-        if granted && (safe || !may_have_run) && attempts < most && now < deadline {
+        if is_granted && (is_safe || !may_have_run) && attempts < max_attempts && now < deadline {
             self.tokens -= 1.0;
             self.attempt(now, id);
         } else {
@@ -290,17 +307,17 @@
         match input {
             Input::EndpointsListed {
                 entries,
-                is_complete: all,
-            } => self.on_listed(entries, all),
+                is_complete,
+            } => self.on_listed(entries, is_complete),
             Input::Call(call) => self.on_call(now, call),
             Input::CallerDisconnected(id) => {
                 if let Some(OpenCall {
                     attempts,
-                    out: Some((at, _)),
+                    in_flight: Some((server, _)),
                     ..
-                }) = self.open.remove(&id)
+                }) = self.open_calls.remove(&id)
                 {
-                    self.learn(now, at, 0, Outcome::Cancelled);
+                    self.learn(now, server, 0, Outcome::Cancelled);
                     if self.settings.may_cancel {
                         self.commands.push_back(Command::CancelAttempt {
                             id,
@@ -309,11 +326,7 @@
                     }
                 }
             }
-            Input::AttemptEnded {
-                id,
-                attempt,
-                end: ended,
-            } => self.on_ended(now, id, attempt, &ended),
+            Input::AttemptEnded { id, attempt, end } => self.on_ended(now, id, attempt, &end),
             // Baseline policies use no health verdicts of the fleet, probes or timers.
             Input::DiscoveryFailed
             | Input::ResponseStarted { .. }
@@ -332,6 +345,6 @@
     }
 
     fn open_call_count(&self) -> usize {
-        self.open.len()
+        self.open_calls.len()
     }
 }
--- a/crates/emulator/src/baseline/selection.rs
+++ b/crates/emulator/src/baseline/selection.rs
@@ -8,50 +8,58 @@
 const ZONE_TRIPPED: f64 = 0.2;
 
 impl BaselinePolicy {
-    pub(super) fn pick(&mut self, now: Time, not: Option<usize>) -> Option<usize> {
+    /// Position of the server for the next attempt, other than `excluded` if possible; `None` if no server is ready.
+    pub(super) fn pick(&mut self, now: Time, excluded: Option<usize>) -> Option<usize> {
         let count = self.ready.len();
         if count == 0 {
             return None;
         }
         if self.config.selection == ServerSelection::Ribbon {
-            return self.pick_ribbon(now, not);
+            return self.pick_ribbon(now, excluded);
         }
-        let usable = |this: &Self, at: usize| {
-            this.servers[at].out_until <= now && (Some(at) != not || count == 1)
+        let usable = |this: &Self, index: usize| {
+            this.servers[index].unavailable_until <= now && (Some(index) != excluded || count == 1)
         };
         match self.config.selection {
             ServerSelection::RoundRobin | ServerSelection::Ribbon => {
-                self.next_in_order(count, |this, at| usable(this, at))
+                self.next_in_order(count, |this, index| usable(this, index))
             }
             ServerSelection::LeastConnections => {
                 let start = self.cursor;
                 self.cursor = (start + 1) % count;
-                let turn = (start..start + count).map(|at| self.ready[at % count]);
-                turn.filter(|&at| usable(self, at))
-                    .min_by_key(|&at| self.servers[at].in_flight)
+                let rotation = (start..start + count).map(|place| self.ready[place % count]);
+                rotation
+                    .filter(|&index| usable(self, index))
+                    .min_by_key(|&index| self.servers[index].in_flight)
             }
             ServerSelection::Random | ServerSelection::TwoChoices | ServerSelection::PeakEwma => {
-                let one = self.draw(usable)?;
+                let first = self.draw(usable)?;
                 if self.config.selection == ServerSelection::Random {
-                    return Some(one);
+                    return Some(first);
                 }
-                let two = self.draw(usable)?;
-                let cost = |at: usize| {
-                    let server = &self.servers[at];
+                let second = self.draw(usable)?;
+                let cost = |index: usize| {
+                    let server = &self.servers[index];
                     let calls = f64::from(server.in_flight) + 1.0;
                     match self.config.selection {
                         // A server without a known latency is expensive while a call to it is in flight.
-                        ServerSelection::PeakEwma if server.cost == 0.0 && server.in_flight > 0 => {
+                        ServerSelection::PeakEwma
+                            if server.peak_latency == 0.0 && server.in_flight > 0 =>
+                        {
                             1e12 * calls
                         }
                         ServerSelection::PeakEwma => {
-                            let age = now.saturating_sub(server.cost_at) as f64;
-                            server.cost * (-age / DECAY).exp() * calls
+                            let age = now.saturating_sub(server.peak_latency_at) as f64;
+                            server.peak_latency * (-age / DECAY).exp() * calls
                         }
                         _ => calls,
                     }
                 };
-                Some(if cost(two) < cost(one) { two } else { one })
+                Some(if cost(second) < cost(first) {
+                    second
+                } else {
+                    first
+                })
             }
         }
         .or_else(|| self.next_in_order(count, |_, _| true))
@@ -61,14 +69,15 @@
     /// order.
     fn draw(&mut self, usable: impl Fn(&Self, usize) -> bool) -> Option<usize> {
         for _ in 0..8 {
-            let at = self.ready[self.rng.random_range(..self.ready.len())];
-            if usable(self, at) {
-                return Some(at);
+            let index = self.ready[self.rng.random_range(..self.ready.len())];
+            if usable(self, index) {
+                return Some(index);
             }
         }
         self.next_in_order(self.ready.len(), usable)
     }
 
+    /// Takes the next usable server in round-robin order; `None` after `tries` unusable ones.
     fn next_in_order(
         &mut self,
         tries: usize,
@@ -76,15 +85,16 @@
     ) -> Option<usize> {
         for _ in 0..tries {
             self.cursor = (self.cursor + 1) % self.ready.len();
-            let at = self.ready[self.cursor];
-            if usable(self, at) {
-                return Some(at);
+            let index = self.ready[self.cursor];
+            if usable(self, index) {
+                return Some(index);
             }
         }
         None
     }
 
-    fn pick_ribbon(&mut self, now: Time, not: Option<usize>) -> Option<usize> {
+    /// Ribbon's selection: the own zone unless it is bad, or else a random zone other than the worst bad one.
+    fn pick_ribbon(&mut self, now: Time, excluded: Option<usize>) -> Option<usize> {
         #[derive(Clone, Copy, Default)]
         struct Zone {
             servers: u32,
@@ -92,45 +102,50 @@
             in_flight: u32,
         }
         let mut zones = vec![Zone::default(); self.settings.zones];
-        for &at in &self.ready {
-            let server = &self.servers[at];
+        for &index in &self.ready {
+            let server = &self.servers[index];
             if let Some(zone) = zones.get_mut(server.zone) {
                 zone.servers += 1;
-                zone.tripped += u32::from(server.out_until > now);
+                zone.tripped += u32::from(server.unavailable_until > now);
                 zone.in_flight += server.in_flight;
             }
         }
         let load = |zone: &Zone| {
             f64::from(zone.in_flight) / f64::from((zone.servers - zone.tripped).max(1))
         };
-        let bad = |zone: &Zone| {
+        let is_bad = |zone: &Zone| {
             load(zone) >= ZONE_LOAD
                 || f64::from(zone.tripped) >= ZONE_TRIPPED * f64::from(zone.servers.max(1))
         };
-        let own = usize::from(self.settings.zone.0);
-        let home = zones
-            .get(own)
-            .is_some_and(|zone| zone.servers >= 2 && !bad(zone));
-        let from: Vec<usize> = if home {
-            vec![own]
+        let own_zone = usize::from(self.settings.zone.0);
+        let stays_in_own_zone = zones
+            .get(own_zone)
+            .is_some_and(|zone| zone.servers >= 2 && !is_bad(zone));
+        let candidates: Vec<usize> = if stays_in_own_zone {
+            vec![own_zone]
         } else {
-            let there = |zone: &usize| zones[*zone].tripped < zones[*zone].servers;
-            let mut left: Vec<usize> = (0..zones.len()).filter(there).collect();
-            let worst = left.iter().copied().filter(|&zone| bad(&zones[zone]));
+            let has_usable_server = |zone: &usize| zones[*zone].tripped < zones[*zone].servers;
+            let mut usable_zones: Vec<usize> = (0..zones.len()).filter(has_usable_server).collect();
+            let worst = usable_zones
+                .iter()
+                .copied()
+                .filter(|&zone| is_bad(&zones[zone]));
             let worst = worst.max_by(|&a, &b| load(&zones[a]).total_cmp(&load(&zones[b])));
-            if left.len() > 1 {
-                left.retain(|&zone| Some(zone) != worst);
+            if usable_zones.len() > 1 {
+                usable_zones.retain(|&zone| Some(zone) != worst);
             }
-            left
+            usable_zones
         };
-        let one = if from.is_empty() {
+        let chosen_zone = if candidates.is_empty() {
             None
         } else {
-            Some(from[self.rng.random_range(..from.len())])
+            Some(candidates[self.rng.random_range(..candidates.len())])
         };
-        let usable = |this: &Self, at: usize| {
-            let server = &this.servers[at];
-            Some(server.zone) == one && server.out_until <= now && Some(at) != not
+        let usable = |this: &Self, index: usize| {
+            let server = &this.servers[index];
+            Some(server.zone) == chosen_zone
+                && server.unavailable_until <= now
+                && Some(index) != excluded
         };
         let count = self.ready.len();
         self.next_in_order(count, usable)
