--- a/crates/emulator/src/scenario/bound.rs
+++ b/crates/emulator/src/scenario/bound.rs
@@ -29,7 +29,7 @@
         /// Minimum fraction.
         least: f64,
     },
-    /// At most a fraction of the calls that arrive in a window is refused, also after the callers' retries.
+    /// At most a fraction of the calls that arrive in a window is refused even after the callers' retries.
     Refused {
         /// Start of the window.
         from: Span,
@@ -138,13 +138,13 @@
 
 impl fmt::Display for BoundResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seen = self
+        let measured = self
             .measured
-            .map_or("nothing".to_owned(), |seen| format!("{seen:.3}"));
-        let kept = if self.is_met { "kept" } else { "BROKEN" };
+            .map_or("nothing".to_owned(), |measured| format!("{measured:.3}"));
+        let verdict = if self.is_met { "kept" } else { "BROKEN" };
         write!(
             f,
-            "bound {}: {kept}, {seen} seen, {:.3} wanted",
+            "bound {}: {verdict}, {measured} seen, {:.3} wanted",
             self.name, self.threshold
         )
     }
@@ -152,26 +152,27 @@
 
 impl Bound {
     pub(super) fn check(&self, scenario: &Scenario) -> CheckResult {
-        let window = |from: &Span, until: &Span| match from < until && *until <= scenario.duration {
-            true => Ok(()),
-            false => inconsistent("`until` is not after `from`, or after the end of the run"),
-        };
+        let check_window =
+            |from: &Span, until: &Span| match from < until && *until <= scenario.duration {
+                true => Ok(()),
+                false => inconsistent("`until` is not after `from`, or after the end of the run"),
+            };
         match &self.requirement {
             Requirement::Served { from, until, least } => {
-                window(from, until).and_then(|()| in_range("least", *least, 0.0, 1.0))
+                check_window(from, until).and_then(|()| in_range("least", *least, 0.0, 1.0))
             }
             Requirement::Refused { from, until, most } => {
-                window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
+                check_window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
             }
             Requirement::Recovered { from, part, .. } => {
-                window(from, &scenario.duration)?;
+                check_window(from, &scenario.duration)?;
                 if scenario.first_fault() <= scenario.warm_up {
                     return inconsistent("`back`: no time before the first fault to compare with");
                 }
                 in_range("part", *part, 0.0, 1.0)
             }
             Requirement::LogLines { from, least, .. } => {
-                window(from, &scenario.duration)?;
+                check_window(from, &scenario.duration)?;
                 if *least == 0 {
                     inconsistent("`least` is 0, which always holds")
                 } else {
@@ -192,7 +193,8 @@
                 zone, from, part, ..
             } => {
                 scenario.zone(&Some(zone.clone()))?;
-                window(from, &scenario.duration).and_then(|()| in_range("part", *part, 0.0, 1.0))
+                check_window(from, &scenario.duration)
+                    .and_then(|()| in_range("part", *part, 0.0, 1.0))
             }
             Requirement::ZoneNotEvacuated {
                 zone,
@@ -201,12 +203,11 @@
                 most,
             } => {
                 scenario.zone(&Some(zone.clone()))?;
-                window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
-            }
-            Requirement::Agreement { from, .. } => window(from, &scenario.duration),
-            Requirement::PartitionsReported { at, least } => {
-                window(at, &scenario.duration).and_then(|()| in_range("least", *least, 0.0, 1.0))
+                check_window(from, until).and_then(|()| in_range("most", *most, 0.0, 1.0))
             }
+            Requirement::Agreement { from, .. } => check_window(from, &scenario.duration),
+            Requirement::PartitionsReported { at, least } => check_window(at, &scenario.duration)
+                .and_then(|()| in_range("least", *least, 0.0, 1.0)),
         }
     }
 }
--- a/crates/emulator/src/scenario/check/callers.rs
+++ b/crates/emulator/src/scenario/check/callers.rs
@@ -17,8 +17,10 @@
             .map(|group| group.load.max_rate() * self.duration.seconds())
             .sum();
         if calls > MAX_CALLS {
-            let most = MAX_CALLS;
-            return Err(ScenarioError::TooManyCalls { calls, most });
+            return Err(ScenarioError::TooManyCalls {
+                calls,
+                most: MAX_CALLS,
+            });
         }
         Ok(())
     }
@@ -40,8 +42,8 @@
             });
         }
         self.check_zone(group.zone.as_ref())?;
-        let thinks_not = matches!(group.load, Load::Closed { think: Span(0), .. });
-        if group.retries != CallerRetries::Never && thinks_not {
+        let has_no_think_time = matches!(group.load, Load::Closed { think: Span(0), .. });
+        if group.retries != CallerRetries::Never && has_no_think_time {
             return inconsistent("`load`: a crowd that asks again needs a `think` over 0");
         }
         Ok(())
--- a/crates/emulator/src/scenario/check/environment.rs
+++ b/crates/emulator/src/scenario/check/environment.rs
@@ -34,8 +34,8 @@
             return Ok(());
         };
         let (period, timeout) = (members.period.0, members.timeout.0);
-        let probes = period > 0 && timeout > 0 && timeout <= period / 2;
-        if !probes || members.suspicion.0 < period {
+        let has_valid_probes = period > 0 && timeout > 0 && timeout <= period / 2;
+        if !has_valid_probes || members.suspicion.0 < period {
             return inconsistent(
                 "`members`: `patience` up to half of `period`, `suspicion` no shorter",
             );
--- a/crates/emulator/src/scenario/check/faults.rs
+++ b/crates/emulator/src/scenario/check/faults.rs
@@ -31,11 +31,11 @@
 
     fn check_kind(&self, fault: &Fault) -> CheckResult {
         match &fault.kind {
-            FaultKind::Slow(times) | FaultKind::SlowLink(times) => {
-                in_range("what", *times, 0.01, 1e4)
+            FaultKind::Slow(factor) | FaultKind::SlowLink(factor) => {
+                in_range("what", *factor, 0.01, 1e4)
             }
-            FaultKind::ResponseLoss(part) | FaultKind::Resets(part) => {
-                in_range("what", *part, 0.0, 1.0)
+            FaultKind::ResponseLoss(fraction) | FaultKind::Resets(fraction) => {
+                in_range("what", *fraction, 0.0, 1.0)
             }
             FaultKind::Errors { share, class } => self.check_errors(*share, class.as_ref()),
             FaultKind::RollBalancers if fault.until.is_none() => {
@@ -55,7 +55,7 @@
             FaultKind::MemberLink(_) if self.members.is_none() => {
                 inconsistent("there is no `[members]`: balancers do not speak")
             }
-            FaultKind::MemberLink(between) => between.check(self),
+            FaultKind::MemberLink(member_fault) => member_fault.check(self),
             FaultKind::PowerLoss { .. } | FaultKind::SuspendUpstreams if fault.until.is_none() => {
                 inconsistent("`until` is missing: power comes back, and what stands still goes on")
             }
@@ -66,7 +66,7 @@
     /// Whether the balancers of a fault's tier are sidecars.
     fn hits_sidecars(&self, fault: &Fault) -> bool {
         let tier = fault.tier.as_ref().and_then(|name| self.tier(name));
-        tier.is_some_and(|at| self.tier[at].sidecar)
+        tier.is_some_and(|position| self.tier[position].sidecar)
     }
 
     fn check_errors(&self, share: f64, class: Option<&String>) -> CheckResult {
--- a/crates/emulator/src/scenario/check/tiers.rs
+++ b/crates/emulator/src/scenario/check/tiers.rs
@@ -24,18 +24,21 @@
     }
 
     pub(super) fn check_each_tier(&self) -> CheckResult {
-        self.tier.iter().enumerate().try_for_each(|(at, tier)| {
-            let part = || ScenarioPart::Tier(tier.name.clone());
-            self.check_tier(at, tier)
-                .map_err(|error| error.within(part()))
-        })
+        self.tier
+            .iter()
+            .enumerate()
+            .try_for_each(|(position, tier)| {
+                let part = || ScenarioPart::Tier(tier.name.clone());
+                self.check_tier(position, tier)
+                    .map_err(|error| error.within(part()))
+            })
     }
 
-    fn check_tier(&self, at: usize, tier: &Tier) -> CheckResult {
+    fn check_tier(&self, position: usize, tier: &Tier) -> CheckResult {
         if tier.workers == 0 || tier.cells == 0 {
             return inconsistent("`workers` and `cells` must not be 0");
         }
-        self.check_balancers_of(at, tier)?;
+        self.check_balancers_of(position, tier)?;
         if tier.connections.handshake_round_trips > MAX_HANDSHAKE_ROUND_TRIPS {
             return inconsistent("`connections.trips` is over 10");
         }
@@ -54,8 +57,8 @@
     }
 
     /// A tier needs either its own balancers, or a calling tier whose upstreams have sidecars.
-    fn check_balancers_of(&self, at: usize, tier: &Tier) -> CheckResult {
-        match (tier.sidecar, self.caller_of(at)) {
+    fn check_balancers_of(&self, position: usize, tier: &Tier) -> CheckResult {
+        match (tier.sidecar, self.caller_of(position)) {
             (true, None) => inconsistent("`beside`: no tier calls it"),
             (true, Some(_)) if tier.balancers > 0 => {
                 inconsistent("`balancers`: with `beside` there are as many as nodos that call")
@@ -68,9 +71,9 @@
     /// Fails if the calls from one tier to the next form a cycle.
     pub(super) fn check_call_chain(&self) -> CheckResult {
         for tier in &self.tier {
-            let (mut seen, mut next) = (HashSet::from([&tier.name]), tier);
+            let (mut visited, mut next) = (HashSet::from([&tier.name]), tier);
             while let Some(calls) = &next.calls {
-                let Some(at) = self.tier(&calls.tier) else {
+                let Some(position) = self.tier(&calls.tier) else {
                     let unknown = ScenarioError::UnknownName {
                         key: "calls",
                         kind: "tier",
@@ -78,11 +81,11 @@
                     };
                     return Err(unknown.within(ScenarioPart::Tier(next.name.clone())));
                 };
-                if !seen.insert(&calls.tier) {
+                if !visited.insert(&calls.tier) {
                     let cycle = ScenarioError::CallCycle(calls.tier.clone());
                     return Err(cycle.within(ScenarioPart::Tier(tier.name.clone())));
                 }
-                next = &self.tier[at];
+                next = &self.tier[position];
             }
         }
         Ok(())
--- a/crates/emulator/src/scenario/error.rs
+++ b/crates/emulator/src/scenario/error.rs
@@ -158,9 +158,9 @@
     list: &'static str,
     names: impl Iterator<Item = &'a String>,
 ) -> CheckResult {
-    let mut seen = std::collections::HashSet::new();
+    let mut known = std::collections::HashSet::new();
     for name in names {
-        if name.is_empty() || !seen.insert(name) {
+        if name.is_empty() || !known.insert(name) {
             let name = name.clone();
             return Err(ScenarioError::AmbiguousName { list, name });
         }
--- a/crates/emulator/src/scenario/evacuation.rs
+++ b/crates/emulator/src/scenario/evacuation.rs
@@ -1,5 +1,5 @@
-//! Settings of evacuation, by which balancers leave failing zones together, and of balancers that report
-//! falsely.
+//! Settings of evacuation, in which all balancers together stop sending to failing zones, and of balancers that
+//! report falsely.
 
 use super::Scenario;
 use super::error::{CheckResult, in_range, inconsistent};
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -31,7 +31,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "again")]
     pub repetition: Option<FaultRepetition>,
-    /// Position in the file before repetitions were expanded. It selects the random stream for the targets.
+    /// Position of the fault in the file before repetitions were expanded, which selects the random stream for the
+    /// targets.
     #[serde(skip)]
     pub file_position: Option<u32>,
 }
@@ -54,36 +55,37 @@
 impl Fault {
     /// Expands the fault into its occurrences; a fault without repetition stays a single one.
     pub(super) fn expand_repetition(self, file_position: u32) -> Result<Vec<Self>, ScenarioError> {
-        let one = Self {
+        let first = Self {
             repetition: None,
             file_position: Some(file_position),
             ..self.clone()
         };
-        let Some(again) = self.repetition else {
-            return Ok(vec![one]);
+        let Some(repetition) = self.repetition else {
+            return Ok(vec![first]);
         };
-        let wrong = |text| {
+        let invalid = |text| {
             let part = ScenarioPart::Fault(file_position as usize + 1);
             Err(ScenarioError::Inconsistent(text)
                 .within(ScenarioPart::Key("again"))
                 .within(part))
         };
-        if !(1..=MAX_OCCURRENCES).contains(&again.count) {
-            return wrong("`times` is not from 1 to 1,000");
+        if !(1..=MAX_OCCURRENCES).contains(&repetition.count) {
+            return invalid("`times` is not from 1 to 1,000");
         }
         if self
             .until
-            .is_none_or(|until| until.0 < self.at.0 || until.0 - self.at.0 >= again.period.0)
+            .is_none_or(|until| until.0 < self.at.0 || until.0 - self.at.0 >= repetition.period.0)
         {
-            return wrong("`until` is missing, or not before the next time");
+            return invalid("`until` is missing, or not before the next time");
         }
-        let later = |span: Span, time: u32| Span(span.0 + u64::from(time) * again.period.0);
-        let at = |time| Self {
-            at: later(one.at, time),
-            until: one.until.map(|it| later(it, time)),
-            ..one.clone()
+        let shifted =
+            |span: Span, number: u32| Span(span.0 + u64::from(number) * repetition.period.0);
+        let occurrence = |number| Self {
+            at: shifted(first.at, number),
+            until: first.until.map(|until| shifted(until, number)),
+            ..first.clone()
         };
-        Ok((0..again.count).map(at).collect())
+        Ok((0..repetition.count).map(occurrence).collect())
     }
 
     /// Whether the fault has started and not ended.
@@ -211,7 +213,7 @@
     Torn,
     /// Each file exists and is empty.
     Empty,
-    /// The files of another balancer stand under the process's own names.
+    /// The files of another balancer are stored under the process's own names.
     #[serde(rename = "stranger")]
     OtherBalancer,
 }
--- a/crates/emulator/src/scenario/load.rs
+++ b/crates/emulator/src/scenario/load.rs
@@ -60,19 +60,19 @@
 }
 
 impl Load {
-    /// Rate at a time, in calls per second; 0 for a closed loop.
-    pub fn rate(&self, at: u64) -> f64 {
+    /// Rate in calls per second at a time in nanoseconds since the start of the run; 0 for a closed loop.
+    pub fn rate(&self, time: u64) -> f64 {
         match self {
             Self::Constant(rate) => *rate,
             Self::Curve(points) => {
-                let after = points.partition_point(|(time, _)| time.0 <= at);
+                let after = points.partition_point(|(point_time, _)| point_time.0 <= time);
                 match (
-                    after.checked_sub(1).and_then(|at| points.get(at)),
+                    after.checked_sub(1).and_then(|before| points.get(before)),
                     points.get(after),
                 ) {
-                    (Some((from, low)), Some((to, high))) => {
-                        let part = (at - from.0) as f64 / (to.0 - from.0).max(1) as f64;
-                        low + (high - low) * part
+                    (Some((from, start_rate)), Some((to, end_rate))) => {
+                        let fraction = (time - from.0) as f64 / (to.0 - from.0).max(1) as f64;
+                        start_rate + (end_rate - start_rate) * fraction
                     }
                     (Some((_, rate)), None) | (None, Some((_, rate))) => *rate,
                     (None, None) => 0.0,
@@ -83,8 +83,8 @@
                 swing,
                 period,
             } => {
-                let part = at as f64 / period.0.max(1) as f64;
-                mean * (1.0 - swing * (part * std::f64::consts::TAU).cos())
+                let phase = time as f64 / period.0.max(1) as f64;
+                mean * (1.0 - swing * (phase * std::f64::consts::TAU).cos())
             }
             Self::Closed { .. } => 0.0,
         }
@@ -159,7 +159,8 @@
         /// Maximum number of sends, the first one included.
         most: u32,
     },
-    /// Exponential backoff: the delay doubles each time, and is drawn from its upper half.
+    /// Exponential backoff: the longest delay doubles each time, and each delay is drawn from the upper half of its
+    /// range.
     Backoff {
         /// First delay.
         first: Span,
@@ -173,28 +174,29 @@
 impl CallerRetries {
     /// Delay before the next retry after a number of sends, in nanoseconds; `None` if there is no retry. `draw`
     /// returns a number from 0 to 1.
-    pub fn delay(&self, tries: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
+    pub fn delay(&self, sends: u32, draw: impl FnOnce() -> f64) -> Option<u64> {
         match *self {
             Self::Never => None,
-            Self::Immediate { most } => (tries < most).then_some(0),
-            Self::FixedDelay { wait, most } => (tries < most).then_some(wait.0),
-            Self::Backoff { first, cap, most } => (tries < most).then(|| {
-                let wait = first
+            Self::Immediate { most } => (sends < most).then_some(0),
+            Self::FixedDelay { wait, most } => (sends < most).then_some(wait.0),
+            Self::Backoff { first, cap, most } => (sends < most).then(|| {
+                let delay = first
                     .0
-                    .saturating_mul(1 << tries.saturating_sub(1).min(20))
+                    .saturating_mul(1 << sends.saturating_sub(1).min(20))
                     .min(cap.0);
-                wait / 2 + (draw() * (wait / 2) as f64) as u64
+                delay / 2 + (draw() * (delay / 2) as f64) as u64
             }),
         }
     }
 }
 
-/// Selects an entry in proportion to the shares, by a number from 0 to 1.
+/// Selects a position in proportion to the shares, by a number from 0 to 1. `mix` has pairs of share and position.
 pub fn by_weight(mix: &[(f64, usize)], draw: f64) -> Option<usize> {
-    let mut left = draw * mix.iter().map(|(share, _)| share).sum::<f64>();
+    let mut remaining_share = draw * mix.iter().map(|(share, _)| share).sum::<f64>();
     let drawn = mix.iter().find(|(share, _)| {
-        left -= share;
-        left < 0.0
+        remaining_share -= share;
+        remaining_share < 0.0
     });
-    drawn.or(mix.last()).map(|(_, one)| *one)
+    // Rounding may leave a remainder after the last entry.
+    drawn.or(mix.last()).map(|(_, position)| *position)
 }
--- a/crates/emulator/src/scenario/members.rs
+++ b/crates/emulator/src/scenario/members.rs
@@ -28,19 +28,19 @@
 
 impl Default for MembershipConfig {
     fn default() -> Self {
-        let usual = woadstall_membership::Settings::default();
+        let defaults = woadstall_membership::Settings::default();
         let span = |time: std::time::Duration| Span(time.as_nanos() as u64);
         let (period, timeout, suspicion) = (
-            span(usual.probe_interval),
-            span(usual.probe_timeout),
-            span(usual.suspicion_timeout),
+            span(defaults.probe_interval),
+            span(defaults.probe_timeout),
+            span(defaults.suspicion_timeout),
         );
         Self {
             period,
             timeout,
             suspicion,
             tolerated_pause: Span(5 * SECOND),
-            plain_swim: usual.plain_swim,
+            plain_swim: defaults.plain_swim,
         }
     }
 }
@@ -60,8 +60,8 @@
     Both,
 }
 
-/// Fault on the paths between the balancers in its scope and others: the balancers of a zone, or all balancers
-/// out of scope, or, if all balancers are in scope, all of them.
+/// Fault on the paths between the balancers in its scope and other balancers. These are the ones in the zone `to`;
+/// without `to`, they are all balancers out of scope, or all balancers if none is out of scope.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct MemberLinkFault {
@@ -126,48 +126,50 @@
         in_range("overtaken", self.reordered, 0.0, 1.0)
     }
 
-    /// Whether the fault affects the path between two balancers, given by number and zone. `hit` are the
-    /// numbers of the balancers in scope in ascending order, and `all` is the number of all balancers.
-    fn hits(
+    /// Whether the fault affects the path between two balancers, given by number and zone. `in_scope` are the
+    /// numbers of the balancers in scope in ascending order, and `balancer_count` is the number of all balancers.
+    fn affects(
         &self,
-        hit: &[u32],
-        all: usize,
+        in_scope: &[u32],
+        balancer_count: usize,
         to_zone: Option<u8>,
         from: (u32, u8),
         to: (u32, u8),
     ) -> bool {
-        let is_hit = |of: u32| hit.binary_search(&of).is_ok();
-        let is_bridge = |of: u32| {
-            !is_hit(of)
-                && (of as usize - hit.partition_point(|hit| *hit < of)) < self.bridges as usize
+        let is_in_scope = |balancer: u32| in_scope.binary_search(&balancer).is_ok();
+        let is_bridge = |balancer: u32| {
+            let in_scope_before = in_scope.partition_point(|other| *other < balancer);
+            !is_in_scope(balancer) && (balancer as usize - in_scope_before) < self.bridges as usize
         };
-        let is_other = |(of, zone): (u32, u8)| match to_zone {
-            _ if is_bridge(of) => false,
-            Some(there) => zone == there,
-            None => hit.len() >= all || !is_hit(of),
+        let is_other = |(balancer, zone): (u32, u8)| match to_zone {
+            _ if is_bridge(balancer) => false,
+            Some(to_zone) => zone == to_zone,
+            None => in_scope.len() >= balancer_count || !is_in_scope(balancer),
         };
-        let there = is_hit(from.0) && is_other(to);
-        let back = is_hit(to.0) && is_other(from);
+        let ((from_balancer, _), (to_balancer, _)) = (from, to);
+        let forward = is_in_scope(from_balancer) && is_other(to);
+        let reverse = is_in_scope(to_balancer) && is_other(from);
         match self.direction {
-            Direction::Forward => there,
-            Direction::Reverse => back,
-            Direction::Both => there || back,
+            Direction::Forward => forward,
+            Direction::Reverse => reverse,
+            Direction::Both => forward || reverse,
         }
     }
 }
 
 impl Scenario {
-    /// Condition of the path between two balancers, given by number and zone. `all` is the number of all
+    /// Condition of the path between two balancers, given by number and zone. `balancer_count` is the number of all
     /// balancers; `faults` are the active faults, each with the balancers in its scope.
     pub fn member_link<'a>(
         &self,
         from: (u32, u8),
         to: (u32, u8),
-        all: usize,
+        balancer_count: usize,
         faults: impl Iterator<Item = (&'a Fault, &'a [u32])>,
     ) -> MemberLink {
         let network = &self.network;
-        let base = if from.1 == to.1 {
+        let ((_, from_zone), (_, to_zone)) = (from, to);
+        let base = if from_zone == to_zone {
             network.within_zone
         } else {
             network.between_zones
@@ -177,17 +179,19 @@
             loss: network.loss,
             ..MemberLink::default()
         };
-        for (fault, hit) in faults {
+        for (fault, in_scope) in faults {
             if let FaultKind::MemberLink(member_fault) = &fault.kind {
-                let zone = self.zone(&member_fault.to).unwrap_or(None);
-                if member_fault.hits(hit, all, zone, from, to) {
+                let fault_zone = self.zone(&member_fault.to).unwrap_or(None);
+                if member_fault.affects(in_scope, balancer_count, fault_zone, from, to) {
                     path.partitioned |= member_fault.partitioned;
                     path.delay += member_fault.delay.0;
                     path.loss = path.loss.max(member_fault.loss);
                     path.duplicated = path.duplicated.max(member_fault.duplicated);
                     path.reordered = path.reordered.max(member_fault.reordered);
                 }
-            } else if let Some(link) = fault.link(self.zone_name(from.1), self.zone_name(to.1)) {
+            } else if let Some(link) =
+                fault.link(self.zone_name(from_zone), self.zone_name(to_zone))
+            {
                 path.partitioned |= link.partitioned;
                 path.delay += link.delay.0;
                 path.loss = path.loss.max(link.loss);
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -43,7 +43,7 @@
     /// Duration of the callers' load.
     #[serde(rename = "time")]
     pub duration: Span,
-    /// Calls before this time are not counted, as the engine has not learned its averages yet.
+    /// Calls that arrive before this time are not counted, as the engine has not learned its averages yet.
     #[serde(default)]
     pub warm_up: Span,
     /// Length of a step of the timeline.
@@ -198,11 +198,11 @@
         self.check_all()
     }
 
-    /// Tier whose upstreams call this one.
+    /// Position of the tier whose upstreams call this one.
     pub fn caller_of(&self, tier: usize) -> Option<usize> {
         let name = &self.tier[tier].name;
-        self.tier.iter().position(|other| {
-            other
+        self.tier.iter().position(|calling_tier| {
+            calling_tier
                 .calls
                 .as_ref()
                 .is_some_and(|calls| calls.tier == *name)
@@ -269,8 +269,9 @@
     /// The scenario has no zone of this name.
     pub fn zone(&self, name: &Option<String>) -> Result<Option<u8>, ScenarioError> {
         let Some(name) = name else { return Ok(None) };
-        let at = self.zones.iter().position(|zone| zone == name);
-        at.map(|at| Some(at as u8))
+        let position = self.zones.iter().position(|zone| zone == name);
+        position
+            .map(|position| Some(position as u8))
             .ok_or_else(|| ScenarioError::UnknownName {
                 key: "zone",
                 kind: "zone",
@@ -285,6 +286,9 @@
 
     /// Number of tiers between the callers and this one.
     pub fn depth(&self, tier: usize) -> u32 {
-        std::iter::successors(self.caller_of(tier), |&above| self.caller_of(above)).count() as u32
+        std::iter::successors(self.caller_of(tier), |&calling_tier| {
+            self.caller_of(calling_tier)
+        })
+        .count() as u32
     }
 }
--- a/crates/emulator/src/scenario/settings.rs
+++ b/crates/emulator/src/scenario/settings.rs
@@ -15,22 +15,19 @@
                 CallEffect::Safe => Effect::Safe,
                 CallEffect::Unsafe => Effect::Unsafe,
                 CallEffect::Keyed => {
-                    let group = match class.group {
+                    let scope = match class.group {
                         CallGroup::All => DedupScope::All,
                         CallGroup::Zone => DedupScope::Zone,
                         CallGroup::Cell => DedupScope::Cell,
                     };
-                    Effect::Keyed(group, class.window.0)
+                    Effect::Keyed(scope, class.window.0)
                 }
             },
             late_value: class.late_value,
             value: class.value,
         };
-        let (depth, siblings, tier) = (
-            self.depth(tier),
-            self.balancer_count(tier),
-            &self.tier[tier],
-        );
+        let (depth, balancer_count) = (self.depth(tier), self.balancer_count(tier));
+        let tier = &self.tier[tier];
         Settings {
             classes: self.class.iter().map(class).collect(),
             tenants: self
@@ -44,7 +41,7 @@
             value_by_work: false,
             zone: ZoneId(zone),
             zones: self.zones.len(),
-            balancers: siblings,
+            balancers: balancer_count,
             tier: depth,
             propagates_deadline: true,
             subscribes_to_discovery: self.registry.queries.is_some(),
