--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -29,9 +29,9 @@
         let _ = now;
         Vec::new()
     }
-    /// Listed upstreams with the revision of the list, or `None` if the revision is still `seen`.
-    fn listed_upstreams(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
-        let _ = seen;
+    /// Revision of the upstream list, and the listed upstreams; `None` if the revision is still `known_revision`.
+    fn listed_upstreams(&self, known_revision: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
+        let _ = known_revision;
         None
     }
 }
@@ -68,8 +68,8 @@
         Engine::attempts_in_flight(self, now).collect()
     }
 
-    fn listed_upstreams(&self, seen: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
-        let (changes, all) = Engine::listed_upstreams(self);
-        (changes != seen).then(|| (changes, all.collect()))
+    fn listed_upstreams(&self, known_revision: u64) -> Option<(u64, Vec<ListedUpstream<'_>>)> {
+        let (revision, upstreams) = Engine::listed_upstreams(self);
+        (revision != known_revision).then(|| (revision, upstreams.collect()))
     }
 }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -19,6 +19,7 @@
     service_time: Time,
     /// A read fails after this time if its answer would come later.
     timeout: Time,
+    /// Time at which all reads that are queued now are answered.
     free_at: Time,
     down: bool,
 }
@@ -41,12 +42,12 @@
 
     /// Queues a read.
     pub fn read(&mut self, now: Time) -> Read {
-        let done = self.free_at.max(now) + self.service_time;
-        if self.down || done > now + self.timeout {
+        let answered_at = self.free_at.max(now) + self.service_time;
+        if self.down || answered_at > now + self.timeout {
             return Read::Failed(now + self.timeout);
         }
-        self.free_at = done;
-        Read::Answered(done)
+        self.free_at = answered_at;
+        Read::Answered(answered_at)
     }
 }
 
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -22,6 +22,7 @@
     pub incarnation: u32,
 }
 
+/// A balancer as the front knows it.
 #[derive(Clone, Copy, Debug)]
 struct FrontedBalancer {
     balancer: u32,
@@ -66,8 +67,8 @@
     }
 
     /// Provides a connection for a call from a zone: the connection that became idle last, or a new one, whose
-    /// incarnation the caller fills in. The flag is `true` for a new connection. `None` if all balancers are
-    /// known to be down.
+    /// incarnation the caller of this function fills in. The flag is `true` for a new connection. `None` if all
+    /// balancers are known to be down.
     pub fn acquire(
         &mut self,
         zone: usize,
@@ -89,22 +90,19 @@
         let zones = self.zones.len();
         (0..zones).find_map(|step| {
             let zone_balancers = &self.zones[(zone + step) % zones];
-            let sum: f64 = zone_balancers
+            let is_up = |fronted: &&FrontedBalancer| !fronted.detected_down;
+            let weight_sum: f64 = zone_balancers
                 .iter()
-                .filter(|one| !one.detected_down)
-                .map(|one| one.weight)
+                .filter(is_up)
+                .map(|fronted| fronted.weight)
                 .sum();
-            let mut left = rng.random::<f64>() * sum;
-            let drawn = zone_balancers
-                .iter()
-                .filter(|one| !one.detected_down)
-                .find(|one| {
-                    left -= one.weight;
-                    left < 0.0
-                });
-            let balancer = drawn
-                .or(zone_balancers.iter().rev().find(|one| !one.detected_down))?
-                .balancer;
+            let mut remaining_weight = rng.random::<f64>() * weight_sum;
+            let drawn = zone_balancers.iter().filter(is_up).find(|fronted| {
+                remaining_weight -= fronted.weight;
+                remaining_weight < 0.0
+            });
+            // Rounding may leave a remainder after the last balancer.
+            let balancer = drawn.or(zone_balancers.iter().rev().find(is_up))?.balancer;
             Some((
                 CallerConnection {
                     zone,
@@ -132,10 +130,11 @@
     }
 
     /// Marks a balancer as detected down, or as up again.
-    pub fn set_detected_down(&mut self, balancer: u32, out: bool) {
-        let all = self.zones.iter_mut().flatten();
-        all.filter(|one| one.balancer == balancer)
-            .for_each(|one| one.detected_down = out);
+    pub fn set_detected_down(&mut self, balancer: u32, down: bool) {
+        let balancers = self.zones.iter_mut().flatten();
+        balancers
+            .filter(|fronted| fronted.balancer == balancer)
+            .for_each(|fronted| fronted.detected_down = down);
     }
 }
 
--- a/crates/emulator/src/front/tests.rs
+++ b/crates/emulator/src/front/tests.rs
@@ -19,8 +19,8 @@
 #[test]
 fn connections_are_reused_until_idle_timeout_or_close() {
     let (mut front, mut rng) = front(1.0);
-    let (connection, fresh) = front.acquire(0, 0, &mut rng).unwrap();
-    assert!(fresh && connection.balancer < 3);
+    let (connection, is_new) = front.acquire(0, 0, &mut rng).unwrap();
+    assert!(is_new && connection.balancer < 3);
     front.release(connection, 10);
     assert_eq!(front.acquire(0, 500, &mut rng), Some((connection, false)));
     front.release(connection, 500);
@@ -52,9 +52,9 @@
 #[test]
 fn weights_spread_over_the_configured_ratio() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let all: Vec<u32> = (0..400).collect();
-    let front = Front::new(&[all], 20.0, 1_000, &mut rng);
-    let weights = || front.zones[0].iter().map(|one| one.weight);
+    let balancers: Vec<u32> = (0..400).collect();
+    let front = Front::new(&[balancers], 20.0, 1_000, &mut rng);
+    let weights = || front.zones[0].iter().map(|fronted| fronted.weight);
     let (least, most) = (
         weights().fold(f64::MAX, f64::min),
         weights().fold(0.0, f64::max),
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -90,8 +90,8 @@
                 mean.0 as f64 * (variance.sqrt() * normal - variance / 2.0).exp()
             }
             Self::Pareto { mean, shape } => {
-                let least = mean.0 as f64 * (shape - 1.0) / shape;
-                least * (1.0 - rng.random::<f64>()).powf(-1.0 / shape)
+                let minimum = mean.0 as f64 * (shape - 1.0) / shape;
+                minimum * (1.0 - rng.random::<f64>()).powf(-1.0 / shape)
             }
             Self::Measured(values) => values[rng.random_range(..values.len())].0 as f64,
         }
@@ -104,20 +104,20 @@
     (gap / rate * 1e9).min(1e18) as Time
 }
 
-/// Draws `true` with probability `part`.
-pub fn chance(rng: &mut ChaCha8Rng, part: f64) -> bool {
-    part > 0.0 && rng.random::<f64>() < part
+/// Draws `true` with a probability.
+pub fn chance(rng: &mut ChaCha8Rng, probability: f64) -> bool {
+    probability > 0.0 && rng.random::<f64>() < probability
 }
 
-/// Draws the fraction `part` of the given numbers without replacement, and returns them in ascending order.
-pub fn sample(rng: &mut ChaCha8Rng, from: &[u32], part: f64) -> Vec<u32> {
-    let count = ((part * from.len() as f64).round() as usize).min(from.len());
-    let mut left = from.to_vec();
-    for at in 0..count {
-        let other = rng.random_range(at..left.len());
-        left.swap(at, other);
+/// Draws a fraction of the given numbers without replacement, and returns the drawn ones in ascending order.
+pub fn sample(rng: &mut ChaCha8Rng, from: &[u32], fraction: f64) -> Vec<u32> {
+    let count = ((fraction * from.len() as f64).round() as usize).min(from.len());
+    let mut drawn = from.to_vec();
+    for index in 0..count {
+        let other = rng.random_range(index..drawn.len());
+        drawn.swap(index, other);
     }
-    left.truncate(count);
-    left.sort_unstable();
-    left
+    drawn.truncate(count);
+    drawn.sort_unstable();
+    drawn
 }
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -57,7 +57,7 @@
     pub zone: u8,
     /// Number of the cell.
     pub cell: u16,
-    /// Number of the address.
+    /// Number of the host, which determines the address.
     pub host: u32,
     /// Whether a process is running.
     pub alive: bool,
@@ -100,11 +100,12 @@
 }
 
 impl Upstream {
-    /// Creates an upstream of a tier; the tier decides whether it starts cold.
+    /// Creates an upstream of a tier, whose configuration decides whether it starts cold. `location` is the position of
+    /// the zone, the number of the cell, and the number of the host.
     pub fn new(
         name: String,
         tier: usize,
-        like: &Tier,
+        config: &Tier,
         location: (u8, u16, u32),
         rng: ChaCha8Rng,
     ) -> Self {
@@ -118,19 +119,19 @@
             alive: true,
             draining: false,
             process: 0,
-            started: like.cold.then_some(0),
+            started: config.cold.then_some(0),
             overloaded: false,
             active_faults: UpstreamFaults::default(),
             rng,
-            workers: like.workers,
+            workers: config.workers,
             busy: 0,
-            queue_capacity: like.queue_capacity,
-            queue_order: like.queue_order,
-            start_capacity: like.start_capacity,
-            slow_start_window: like.slow_start_window.0,
-            overload_multiple: like.overload_multiple,
+            queue_capacity: config.queue_capacity,
+            queue_order: config.queue_order,
+            start_capacity: config.start_capacity,
+            slow_start_window: config.slow_start_window.0,
+            overload_multiple: config.overload_multiple,
             connections: 0,
-            max_connections: like.connections.max_open,
+            max_connections: config.connections.max_open,
             queue: VecDeque::new(),
             recent_arrivals: VecDeque::new(),
         }
@@ -149,6 +150,7 @@
         self.clear();
     }
 
+    /// Forgets the requests and connections of the process.
     fn clear(&mut self) {
         (self.busy, self.connections) = (0, 0);
         self.queue.clear();
@@ -170,8 +172,9 @@
         let Some(started) = self.started else {
             return 1.0;
         };
-        let age = now.saturating_sub(started) as f64 / self.slow_start_window.max(1) as f64;
-        (self.start_capacity + (1.0 - self.start_capacity) * age).min(1.0)
+        let relative_age =
+            now.saturating_sub(started) as f64 / self.slow_start_window.max(1) as f64;
+        (self.start_capacity + (1.0 - self.start_capacity) * relative_age).min(1.0)
     }
 
     /// Present capacity, in workers of a healthy warm upstream.
@@ -251,12 +254,12 @@
 
     /// Draws whether a request of a class is answered with an error.
     pub fn draw_error(&mut self, class: usize) -> bool {
-        let share = self
+        let shares = self
             .active_faults
             .errors
             .iter()
-            .filter(|(_, only)| only.is_none_or(|only| only == class));
-        let share: f64 = share.map(|(share, _)| share).sum();
+            .filter(|(_, affected)| affected.is_none_or(|affected| affected == class));
+        let share: f64 = shares.map(|(share, _)| share).sum();
         chance(&mut self.rng, share)
     }
 
@@ -270,20 +273,20 @@
         while self
             .recent_arrivals
             .front()
-            .is_some_and(|&at| at + OVERLOAD_WINDOW <= now)
+            .is_some_and(|&arrived_at| arrived_at + OVERLOAD_WINDOW <= now)
         {
             self.recent_arrivals.pop_front();
         }
         self.recent_arrivals.push_back(now);
         // Capacity over a whole window, even if the process is younger than the window.
         let from = now.saturating_sub(OVERLOAD_WINDOW).max(started);
-        let warm = |at: Time| self.warm_fraction(at);
         let steps = 6;
-        let sum: f64 = (0..steps)
-            .map(|step| warm(from + OVERLOAD_WINDOW * (2 * step + 1) / (2 * steps)))
+        let fraction_sum: f64 = (0..steps)
+            .map(|step| self.warm_fraction(from + OVERLOAD_WINDOW * (2 * step + 1) / (2 * steps)))
             .sum();
-        let can = capacity * sum / steps as f64 * OVERLOAD_WINDOW as f64 / 1e9;
-        let part = self.recent_arrivals.len() as f64 / (self.overload_multiple * can).max(1.0);
-        (part > 1.0).then_some(part)
+        let window_capacity = capacity * fraction_sum / steps as f64 * OVERLOAD_WINDOW as f64 / 1e9;
+        let relative_load =
+            self.recent_arrivals.len() as f64 / (self.overload_multiple * window_capacity).max(1.0);
+        (relative_load > 1.0).then_some(relative_load)
     }
 }
