--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -6,6 +6,7 @@
 
 struct ScheduledEvent<E> {
     at: Time,
+    /// Number of the event in the order of scheduling.
     sequence: u64,
     event: E,
 }
@@ -64,8 +65,8 @@
     }
 
     /// Schedules an event after a delay.
-    pub fn after(&mut self, after: Time, event: E) {
-        self.at(self.now.saturating_add(after), event);
+    pub fn after(&mut self, delay: Time, event: E) {
+        self.at(self.now.saturating_add(delay), event);
     }
 
     /// Takes the next event, unless it is later than `until`.
@@ -73,17 +74,19 @@
         if self.heap.peek()?.at > until {
             return None;
         }
-        let planned = self.heap.pop()?;
-        self.now = planned.at;
-        Some(planned.event)
+        let scheduled = self.heap.pop()?;
+        self.now = scheduled.at;
+        Some(scheduled.event)
     }
 }
 
 /// Map with consecutive keys in the order of insertion. Keys are never reused, and entries below the oldest
 /// present key take no memory.
 pub struct SequenceMap<T> {
+    /// Key of the first entry.
     first: u64,
     entries: VecDeque<Option<T>>,
+    /// Number of values present.
     count: usize,
 }
 
@@ -102,33 +105,33 @@
     pub fn add(&mut self, value: T) -> u64 {
         self.entries.push_back(Some(value));
         self.count += 1;
-        self.next() - 1
+        self.next_key() - 1
     }
 
     /// Key of the next value to be added.
-    pub fn next(&self) -> u64 {
+    pub fn next_key(&self) -> u64 {
         self.first + self.entries.len() as u64
     }
 
     /// Value of a key, if present.
-    pub fn get(&self, number: u64) -> Option<&T> {
+    pub fn get(&self, key: u64) -> Option<&T> {
         self.entries
-            .get(usize::try_from(number.checked_sub(self.first)?).ok()?)?
+            .get(usize::try_from(key.checked_sub(self.first)?).ok()?)?
             .as_ref()
     }
 
     /// Mutable value of a key, if present.
-    pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
+    pub fn get_mut(&mut self, key: u64) -> Option<&mut T> {
         self.entries
-            .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
+            .get_mut(usize::try_from(key.checked_sub(self.first)?).ok()?)?
             .as_mut()
     }
 
     /// Removes the value of a key.
-    pub fn take(&mut self, number: u64) -> Option<T> {
+    pub fn take(&mut self, key: u64) -> Option<T> {
         let taken = self
             .entries
-            .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?
+            .get_mut(usize::try_from(key.checked_sub(self.first)?).ok()?)?
             .take();
         self.count -= usize::from(taken.is_some());
         while let Some(None) = self.entries.front() {
@@ -153,6 +156,6 @@
         self.entries
             .iter()
             .zip(self.first..)
-            .filter_map(|(value, number)| Some((number, value.as_ref()?)))
+            .filter_map(|(value, key)| Some((key, value.as_ref()?)))
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -4,22 +4,23 @@
 use super::*;
 
 impl Simulation<'_> {
-    pub(super) fn handle_input(&mut self, at: usize, input: Input<'_, Ticket, ()>) {
-        let local = self.balancers[at].local_time(self.event_queue.now());
-        self.balancers[at].agent.handle(local, input);
-        while let Some(command) = self.balancers[at].agent.next_command() {
-            self.execute(at, command);
+    /// Passes an input to a balancer's agent, executes the agent's commands, and schedules its timer.
+    pub(super) fn handle_input(&mut self, balancer: usize, input: Input<'_, Ticket, ()>) {
+        let local = self.balancers[balancer].local_time(self.event_queue.now());
+        self.balancers[balancer].agent.handle(local, input);
+        while let Some(command) = self.balancers[balancer].agent.next_command() {
+            self.execute(balancer, command);
         }
         let now = self.event_queue.now();
-        let balancer = &mut self.balancers[at];
-        if let Some(due) = balancer.agent.wake_at() {
-            let due = balancer.simulated_time(due).max(now + TIMER_GRANULARITY);
-            if due < balancer.planned_tick {
-                balancer.planned_tick = due;
+        let state = &mut self.balancers[balancer];
+        if let Some(due) = state.agent.wake_at() {
+            let due = state.simulated_time(due).max(now + TIMER_GRANULARITY);
+            if due < state.planned_tick {
+                state.planned_tick = due;
                 self.event_queue.at(
                     due,
                     Event::AgentTimer {
-                        balancer: at as u32,
+                        balancer: balancer as u32,
                         at: due,
                     },
                 );
@@ -27,31 +28,32 @@
         }
     }
 
-    pub(super) fn agent_timer(&mut self, at: usize, planned: Time) {
-        if self.balancers[at].planned_tick != planned || !self.balancers[at].alive {
+    pub(super) fn agent_timer(&mut self, balancer: usize, planned: Time) {
+        if self.balancers[balancer].planned_tick != planned || !self.balancers[balancer].alive {
             return; // superseded by an earlier timer
         }
-        if let Some(until) = self.paused_until(at) {
-            self.balancers[at].planned_tick = until;
-            let balancer = at as u32;
+        if let Some(until) = self.paused_until(balancer) {
+            self.balancers[balancer].planned_tick = until;
             return self.event_queue.at(
                 until,
                 Event::AgentTimer {
-                    balancer,
+                    balancer: balancer as u32,
                     at: until,
                 },
             );
         }
-        self.balancers[at].planned_tick = Time::MAX;
-        self.handle_input(at, Input::Tick);
+        self.balancers[balancer].planned_tick = Time::MAX;
+        self.handle_input(balancer, Input::Tick);
     }
 
-    pub(super) fn paused_until(&self, at: usize) -> Option<Time> {
-        Some(self.balancers[at].resume_at).filter(|&until| until > self.event_queue.now())
+    /// Time at which a paused balancer resumes; `None` if it is not paused.
+    pub(super) fn paused_until(&self, balancer: usize) -> Option<Time> {
+        Some(self.balancers[balancer].resume_at).filter(|&until| until > self.event_queue.now())
     }
 
+    /// Additional time that the auditor allows for answers: a balancer that was paused until recently answers late
+    /// because of the pause.
     pub(super) fn pause_grace(&self, now: Time) -> Time {
-        // A balancer that was paused until recently answers late because of the pause.
         if now < self.latest_resume_at.saturating_add(SECOND) {
             self.longest_pause()
         } else {
@@ -60,7 +62,7 @@
     }
 
     pub(super) fn longest_pause(&self) -> Time {
-        let longest = |fault: &Fault| match fault.kind {
+        let pause = |fault: &Fault| match fault.kind {
             FaultKind::PauseBalancers => {
                 fault
                     .until
@@ -69,55 +71,56 @@
             }
             _ => 0,
         };
-        self.scenario.fault.iter().map(longest).max().unwrap_or(0)
+        self.scenario.fault.iter().map(pause).max().unwrap_or(0)
     }
 
-    pub(super) fn execute(&mut self, at: usize, command: Command<Ticket, ()>) {
+    pub(super) fn execute(&mut self, balancer: usize, command: Command<Ticket, ()>) {
         match command {
-            Command::SendAttempt(send) => self.dispatch(at, &send),
+            Command::SendAttempt(send) => self.dispatch(balancer, &send),
             Command::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
             Command::Respond {
                 request: Ticket(request),
-                result: verdict,
+                result,
             } => {
                 let now = self.event_queue.now();
                 let grace = self.pause_grace(now);
-                self.auditor.answered(now, request, &verdict, grace);
-                let Some(known) = self.requests.get_mut(request) else {
+                self.auditor.answered(now, request, &result, grace);
+                let Some(known_request) = self.requests.get_mut(request) else {
                     return;
                 };
-                if std::mem::replace(&mut known.answered, true) {
+                if std::mem::replace(&mut known_request.answered, true) {
                     return;
                 }
-                let client_call = known.client_call;
-                if matches!(verdict, CallResult::Rejected(_)) {
+                let client_call = known_request.client_call;
+                if matches!(result, CallResult::Rejected(_)) {
                     self.costs
-                        .count(now, self.balancers[at].tier, Cost::Refusals, at);
+                        .count(now, self.balancers[balancer].tier, Cost::Refusals, balancer);
                 }
                 self.record_trace(client_call, || {
-                    let text = call_trace::result_text(&verdict);
-                    format!("balancer {at} answers {text}")
+                    let text = call_trace::result_text(&result);
+                    format!("balancer {balancer} answers {text}")
                 });
-                self.client_call_answered(client_call, &verdict);
+                self.client_call_answered(client_call, &result);
                 self.forget_request(request);
             }
-            Command::CloseIdleConnections(server) => self.close_idle(at, server, false),
-            Command::RetireConnections(server) => self.close_idle(at, server, true),
-            Command::Probe(peer) => self.probe(at, &peer),
-            Command::WatchDiscovery => self.query_registry(at),
+            Command::CloseIdleConnections(server) => self.close_idle(balancer, server, false),
+            Command::RetireConnections(server) => self.close_idle(balancer, server, true),
+            Command::Probe(peer) => self.probe(balancer, &peer),
+            Command::WatchDiscovery => self.query_registry(balancer),
             Command::Log(line) => self.meter.log_line(&line),
         }
     }
 
-    pub(super) fn forget_request(&mut self, request: u64) {
-        let over = |request: &Request| request.answered && request.live_attempts == 0;
+    /// Removes a request once it is answered and has no live attempts.
+    pub(super) fn forget_request(&mut self, number: u64) {
+        let is_over = |request: &Request| request.answered && request.live_attempts == 0;
         if let Some(client_call) = self
             .requests
-            .get(request)
-            .filter(|r| over(r))
-            .map(|r| r.client_call)
+            .get(number)
+            .filter(|request| is_over(request))
+            .map(|request| request.client_call)
         {
-            self.requests.take(request);
+            self.requests.take(number);
             if let Some(client_call) = self.client_calls.get_mut(client_call) {
                 client_call.open_requests -= 1;
             }
@@ -127,23 +130,29 @@
 
     /// Closes a balancer's idle connections to a server. With `retire`, its busy connections are not reused
     /// either.
-    fn close_idle(&mut self, at: usize, server: ServerId, retire: bool) {
-        let balancer = &mut self.balancers[at];
-        let Some(&host) = balancer.host_by_server.get(server.0 as usize) else {
+    fn close_idle(&mut self, balancer: usize, server: ServerId, retire: bool) {
+        let state = &mut self.balancers[balancer];
+        let Some(&host) = state.host_by_server.get(server.0 as usize) else {
             return;
         };
-        let Some(links) = balancer.pools.get_mut(host as usize) else {
+        let Some(pool) = state.pools.get_mut(host as usize) else {
             return;
         };
-        links.epoch += u32::from(retire);
-        let (closed, process) = (std::mem::take(&mut links.idle), links.process);
-        self.connections_closed(at, host as usize, process, closed);
+        pool.epoch += u32::from(retire);
+        let (closed, process) = (std::mem::take(&mut pool.idle), pool.process);
+        self.connections_closed(balancer, host as usize, process, closed);
     }
 
     /// Accounts for `count` closed connections from a balancer to one process of an upstream.
-    pub(super) fn connections_closed(&mut self, at: usize, host: usize, process: u32, count: u16) {
-        let balancer = &mut self.balancers[at];
-        balancer.open_connections = balancer.open_connections.saturating_sub(u32::from(count));
+    pub(super) fn connections_closed(
+        &mut self,
+        balancer: usize,
+        host: usize,
+        process: u32,
+        count: u16,
+    ) {
+        let state = &mut self.balancers[balancer];
+        state.open_connections = state.open_connections.saturating_sub(u32::from(count));
         if let Some(&upstream) = self.upstream_by_host.get(host) {
             self.upstreams[upstream as usize].disconnect(process, u32::from(count));
         }
@@ -151,24 +160,28 @@
 
     /// Whether a balancer may open another connection. At the limit, the connection that has been idle longest
     /// is closed to make room.
-    pub(super) fn make_room_for_connection(&mut self, at: usize) -> bool {
-        let most = self.scenario.limits.max_connections;
-        if most == 0 || self.scenario.limits.http2 || self.balancers[at].open_connections < most {
+    pub(super) fn make_room_for_connection(&mut self, balancer: usize) -> bool {
+        let limit = self.scenario.limits.max_connections;
+        if limit == 0
+            || self.scenario.limits.http2
+            || self.balancers[balancer].open_connections < limit
+        {
             return true;
         }
-        let links = self.balancers[at].pools.iter_mut().enumerate();
-        let idle = links
-            .filter(|(_, links)| links.idle > 0)
-            .min_by_key(|(_, links)| links.idle_since);
-        let Some((host, links)) = idle else {
+        let pools = self.balancers[balancer].pools.iter_mut().enumerate();
+        let longest_idle = pools
+            .filter(|(_, pool)| pool.idle > 0)
+            .min_by_key(|(_, pool)| pool.idle_since);
+        let Some((host, pool)) = longest_idle else {
             return false;
         };
-        links.idle -= 1;
-        let process = links.process;
-        self.connections_closed(at, host, process, 1);
+        pool.idle -= 1;
+        let process = pool.process;
+        self.connections_closed(balancer, host, process, 1);
         true
     }
 
+    /// Number of the host with an address; the low 24 bits of the address are the number.
     pub(super) fn host_by_address(address: SocketAddr) -> u32 {
         match address {
             SocketAddr::V4(address) => u32::from(*address.ip()) & 0x00ff_ffff,
@@ -176,71 +189,81 @@
         }
     }
 
-    /// Active link faults on the path from a balancer to an upstream, or, unless `to`, on the path back.
+    /// Active link faults on the path from a balancer to an upstream, or, unless `to_upstream`, on the path back.
     fn link_faults(
         &self,
-        at: usize,
+        balancer: usize,
         upstream: usize,
-        to: bool,
+        to_upstream: bool,
     ) -> impl Iterator<Item = &LinkFault> {
-        let (now, there, here) = (
+        let (now, upstream_zone, balancer_zone) = (
             self.event_queue.now(),
             self.upstreams[upstream].zone,
-            self.balancers[at].zone,
+            self.balancers[balancer].zone,
         );
-        let (from, into) = if to { (here, there) } else { (there, here) };
-        let (from, into) = (self.scenario.zone_name(from), self.scenario.zone_name(into));
-        let in_force = self
+        let (from, to) = if to_upstream {
+            (balancer_zone, upstream_zone)
+        } else {
+            (upstream_zone, balancer_zone)
+        };
+        let (from, to) = (self.scenario.zone_name(from), self.scenario.zone_name(to));
+        let active_faults = self
             .scenario
             .fault
             .iter()
             .filter(move |fault| fault.is_active(now));
-        in_force.filter_map(move |fault| fault.link(from, into))
+        active_faults.filter_map(move |fault| fault.link(from, to))
     }
 
-    /// Draws whether the network loses a message.
-    pub(super) fn is_lost(&mut self, at: usize, upstream: usize, to: bool) -> bool {
-        let link = self
-            .link_faults(at, upstream, to)
+    /// Draws whether the network loses a message from a balancer to an upstream, or, unless `to_upstream`, back.
+    pub(super) fn is_lost(&mut self, balancer: usize, upstream: usize, to_upstream: bool) -> bool {
+        let link_loss = self
+            .link_faults(balancer, upstream, to_upstream)
             .map(|link| link.loss)
             .fold(0.0, f64::max);
-        let loss = self.scenario.network.loss.max(link);
-        chance(&mut self.balancers[at].network_rng, loss)
+        let loss = self.scenario.network.loss.max(link_loss);
+        chance(&mut self.balancers[balancer].network_rng, loss)
     }
 
-    pub(super) fn delay(&mut self, at: usize, upstream: usize, to: bool) -> Time {
-        let more: Time = self
-            .link_faults(at, upstream, to)
+    /// Draws the one-way delay from a balancer to an upstream, or, unless `to_upstream`, back.
+    pub(super) fn delay(&mut self, balancer: usize, upstream: usize, to_upstream: bool) -> Time {
+        let added_delay: Time = self
+            .link_faults(balancer, upstream, to_upstream)
             .map(|link| link.delay.0)
             .sum();
         let (network, upstream) = (&self.scenario.network, &self.upstreams[upstream]);
-        let balancer = &mut self.balancers[at];
-        let base = if balancer.zone == upstream.zone {
+        let state = &mut self.balancers[balancer];
+        let base = if state.zone == upstream.zone {
             network.within_zone
         } else {
             network.between_zones
         };
-        let jitter = 1.0 + network.jitter * balancer.network_rng.random::<f64>();
-        (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + more
+        let jitter = 1.0 + network.jitter * state.network_rng.random::<f64>();
+        (base.0 as f64 * jitter * upstream.active_faults.delay_factor) as Time + added_delay
     }
 
-    /// Whether a partition blocks the path from a balancer to an upstream, or, unless `to`, the path back.
-    pub(super) fn is_partitioned(&self, at: usize, upstream: usize, to: bool) -> bool {
+    /// Whether a partition blocks the path from a balancer to an upstream, or, unless `to_upstream`, the path back.
+    pub(super) fn is_partitioned(
+        &self,
+        balancer: usize,
+        upstream: usize,
+        to_upstream: bool,
+    ) -> bool {
         let zone = self.upstreams[upstream].zone;
-        let partitioned =
-            self.balancers[at].zone != zone && self.partitioned_zones.contains(&(zone, to));
+        let partitioned = self.balancers[balancer].zone != zone
+            && self.partitioned_zones.contains(&(zone, to_upstream));
         partitioned
             || self
-                .link_faults(at, upstream, to)
+                .link_faults(balancer, upstream, to_upstream)
                 .any(|link| link.partitioned)
     }
 
     /// Number of the latest request whose low 32 bits are the balancer's request id.
     pub(super) fn request_by_id(&self, id: RequestId) -> u64 {
-        let next = self.requests.next();
-        let high = next & !0xffff_ffff;
+        let next_key = self.requests.next_key();
+        let high = next_key & !0xffff_ffff;
         let request = high | u64::from(id.0);
-        if request >= next {
+        if request >= next_key {
             request.wrapping_sub(1 << 32)
         } else {
             request
@@ -256,27 +279,28 @@
         self.forget_attempt(number);
     }
 
+    /// Removes an attempt once it has ended both at its balancer and at its upstream.
     pub(super) fn forget_attempt(&mut self, number: u64) {
-        let over = |attempt: &Attempt| !attempt.end_pending && !attempt.in_progress;
-        let Some(attempt) = self.attempts.get(number).filter(|attempt| over(attempt)) else {
+        let is_over = |attempt: &Attempt| !attempt.end_pending && !attempt.in_progress;
+        let Some(attempt) = self.attempts.get(number).filter(|attempt| is_over(attempt)) else {
             return;
         };
         let request = attempt.request;
         self.attempts.take(number);
         self.auditor.attempt_over(self.event_queue.now(), request);
-        if let Some(known) = self.requests.get_mut(request) {
-            known.live_attempts -= 1;
+        if let Some(known_request) = self.requests.get_mut(request) {
+            known_request.live_attempts -= 1;
         }
         self.forget_request(request);
     }
 
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let request = self.request_by_id(id);
-        let out = self
-            .requests
-            .get(request)
-            .and_then(|r| r.pending_attempts.iter().find(|(n, _)| *n == attempt));
-        if let Some(&(_, number)) = out {
+        let pending_attempt = self.requests.get(request).and_then(|request| {
+            let mut pending_attempts = request.pending_attempts.iter();
+            pending_attempts.find(|(number, _)| *number == attempt)
+        });
+        if let Some(&(_, number)) = pending_attempt {
             self.end_attempt(number, Outcome::Cancelled);
         }
     }
@@ -291,22 +315,25 @@
             return;
         };
         attempt.end_pending = false;
-        let (request, at, tries) = (attempt.request, attempt.balancer as usize, attempt.number);
-        let took = self.event_queue.now() - attempt.sent_at;
+        let (request, balancer, attempt_number) =
+            (attempt.request, attempt.balancer as usize, attempt.number);
+        let latency = self.event_queue.now() - attempt.sent_at;
         let mut client_call = 0;
-        if let Some(known) = self.requests.get_mut(request) {
-            known.pending_attempts.retain(|(_, out)| *out != number);
-            client_call = known.client_call;
+        if let Some(known_request) = self.requests.get_mut(request) {
+            known_request
+                .pending_attempts
+                .retain(|(_, pending)| *pending != number);
+            client_call = known_request.client_call;
         }
         self.release_connection(number, outcome);
         self.record_trace(client_call, || {
             format!(
-                "balancer {at} has {} for attempt {tries} after {:.1} ms",
+                "balancer {balancer} has {} for attempt {attempt_number} after {:.1} ms",
                 call_trace::outcome_text(outcome),
-                took as f64 / 1e6
+                latency as f64 / 1e6
             )
         });
-        if self.balancers[at].alive {
+        if self.balancers[balancer].alive {
             let end = AttemptEnd {
                 outcome,
                 response: (outcome == Outcome::Ok).then_some(()),
@@ -314,10 +341,10 @@
             };
             let input = Input::AttemptEnded {
                 id: RequestId(request as u32),
-                attempt: tries,
+                attempt: attempt_number,
                 end,
             };
-            self.handle_input(at, input);
+            self.handle_input(balancer, input);
         }
         self.forget_attempt(number);
     }
@@ -328,15 +355,16 @@
         let Some(attempt) = self.attempts.get(number) else {
             return;
         };
-        let (at, host) = (attempt.balancer as usize, attempt.host as usize);
-        let (process, epoch, socket) = (attempt.process, attempt.epoch, attempt.holds_connection);
+        let (balancer, host) = (attempt.balancer as usize, attempt.host as usize);
+        let (process, epoch, holds_connection) =
+            (attempt.process, attempt.epoch, attempt.holds_connection);
         let is_complete = matches!(
             outcome,
             Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Declined
         );
         let is_same_process = self.upstreams[attempt.upstream as usize].process == process;
         let (now, http2) = (self.event_queue.now(), self.scenario.limits.http2);
-        if let Some(pool) = self.balancers[at].pools.get_mut(host)
+        if let Some(pool) = self.balancers[balancer].pools.get_mut(host)
             && is_complete
             && is_same_process
             && pool.epoch == epoch
@@ -348,8 +376,8 @@
                 pool.idle.saturating_add(1)
             };
             pool.idle_since = now;
-        } else if socket {
-            self.connections_closed(at, host, process, 1);
+        } else if holds_connection {
+            self.connections_closed(balancer, host, process, 1);
         }
     }
 
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -14,12 +14,12 @@
             self.add_balancers(tier);
         }
         if let Some(front) = &self.scenario.front {
-            let (uneven, idle_timeout, zones) = (
+            self.front = Some(Front::new(
+                &self.balancers_by_zone[0],
                 front.max_weight_ratio,
                 front.idle_timeout.0,
-                &self.balancers_by_zone[0],
-            );
-            self.front = Some(Front::new(zones, uneven, idle_timeout, &mut self.front_rng));
+                &mut self.front_rng,
+            ));
         }
         self.plan_faults();
         for group in 0..self.scenario.callers.len() {
@@ -29,20 +29,20 @@
         self.event_queue.at(step, Event::EndOfStep);
     }
 
-    fn add_upstreams(&mut self, at: usize) {
+    fn add_upstreams(&mut self, tier: usize) {
         let scenario = self.scenario;
-        let tier = &scenario.tier[at];
-        let calls = tier.calls.as_ref();
+        let config = &scenario.tier[tier];
+        let calls = config.calls.as_ref();
         self.downstream_by_tier
             .push(calls.and_then(|calls| Some((scenario.tier(&calls.tier)?, calls.mean))));
-        for upstream in 0..tier.upstreams {
+        for upstream in 0..config.upstreams {
             let host = self.upstreams.len() as u32;
-            let cell = (upstream % u32::from(tier.cells)) as u16;
-            let place = (scenario.zone_in_turn(upstream), cell, host);
-            let name = format!("{}-{upstream}", tier.name);
+            let cell = (upstream % u32::from(config.cells)) as u16;
+            let location = (scenario.zone_in_turn(upstream), cell, host);
+            let name = format!("{}-{upstream}", config.name);
             let rng = stream(self.seed, Actor::Upstream, host);
             self.upstreams
-                .push(Upstream::new(name, at, tier, place, rng));
+                .push(Upstream::new(name, tier, config, location, rng));
             self.upstream_by_host.push(host);
         }
         self.balancers_by_zone
@@ -50,21 +50,23 @@
     }
 
     /// Adds the balancers of a tier: its own ones, or one sidecar for each upstream that calls the tier.
-    fn add_balancers(&mut self, at: usize) {
-        let tier = &self.scenario.tier[at];
-        if !tier.sidecar {
-            for balancer in 0..tier.balancers {
+    fn add_balancers(&mut self, tier: usize) {
+        let config = &self.scenario.tier[tier];
+        if !config.sidecar {
+            for balancer in 0..config.balancers {
                 let zone = self.scenario.zone_in_turn(balancer);
-                let number = self.add_balancer(at, zone);
-                self.balancers_by_zone[at][usize::from(zone)].push(number);
+                let number = self.add_balancer(tier, zone);
+                self.balancers_by_zone[tier][usize::from(zone)].push(number);
             }
             return;
         }
+        // At the start of a run, upstreams and hosts have the same numbers.
         for host in 0..self.upstreams.len() {
             if self.downstream_by_tier[self.upstreams[host].tier]
-                .is_some_and(|(called, _)| called == at)
+                .is_some_and(|(called, _)| called == tier)
             {
-                self.sidecar_by_host[host] = Some(self.add_balancer(at, self.upstreams[host].zone));
+                self.sidecar_by_host[host] =
+                    Some(self.add_balancer(tier, self.upstreams[host].zone));
             }
         }
     }
@@ -106,26 +108,29 @@
 
     fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
         let (scenario, number) = (self.scenario, self.balancers.len() as u32);
-        let mut clock = stream(self.seed, Actor::Balancer, number);
-        let offset = scenario.clocks.max_offset.0 as i64;
-        let ahead = if offset > 0 {
-            clock.random_range(-offset..=offset)
+        let mut seed_rng = stream(self.seed, Actor::Balancer, number);
+        let max_offset = scenario.clocks.max_offset.0 as i64;
+        let clock_offset = if max_offset > 0 {
+            seed_rng.random_range(-max_offset..=max_offset)
         } else {
             0
         };
-        let drift = scenario.clocks.max_drift * (2.0 * clock.random::<f64>() - 1.0);
-        let (agent_seed, local) = (clock.next_u64(), EPOCH.saturating_add_signed(ahead));
+        let clock_drift = scenario.clocks.max_drift * (2.0 * seed_rng.random::<f64>() - 1.0);
+        let (agent_seed, local) = (
+            seed_rng.next_u64(),
+            EPOCH.saturating_add_signed(clock_offset),
+        );
         self.balancers.push(Balancer {
             tier,
             zone,
             agent: self
                 .policy
                 .agent(scenario.settings(tier, zone), agent_seed, local),
-            clock_offset: ahead,
-            clock_drift: drift,
+            clock_offset,
+            clock_drift,
             network_rng: stream(self.seed, Actor::Network, number),
             registry_rng: stream(self.seed, Actor::Registry, number),
-            seed_rng: clock,
+            seed_rng,
             pools: Vec::new(),
             open_connections: 0,
             host_by_server: Vec::new(),
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -3,21 +3,28 @@
 use super::*;
 
 impl Simulation<'_> {
+    /// Schedules the next random arrival of a call from a group of callers.
     pub(super) fn plan_arrival(&mut self, group: usize) {
         let load = &self.scenario.callers[group].load;
-        let most = load.max_rate();
-        if most <= 0.0 {
+        let max_rate = load.max_rate();
+        if max_rate <= 0.0 {
             return;
         }
         // Thinning: arrivals are drawn at the maximum rate and accepted in proportion to the present rate.
-        let mut at = self.event_queue.now();
+        let mut arrives_at = self.event_queue.now();
         loop {
-            at = at.saturating_add(exponential_gap(&mut self.arrival_rngs[group], most));
-            if at >= self.scenario.duration.0 {
+            arrives_at =
+                arrives_at.saturating_add(exponential_gap(&mut self.arrival_rngs[group], max_rate));
+            if arrives_at >= self.scenario.duration.0 {
                 return;
             }
-            if chance(&mut self.arrival_rngs[group], load.rate(at) / most) {
-                return self.event_queue.at(at, Event::CallArrives(group as u32));
+            if chance(
+                &mut self.arrival_rngs[group],
+                load.rate(arrives_at) / max_rate,
+            ) {
+                return self
+                    .event_queue
+                    .at(arrives_at, Event::CallArrives(group as u32));
             }
         }
     }
@@ -56,39 +63,39 @@
         self.send_to_balancer(client_call);
     }
 
+    /// Sends a call, or its retry, to a balancer. The call fails if no balancer is alive.
     pub(super) fn send_to_balancer(&mut self, client_call: u64) {
-        let Some(known) = self.client_calls.get_mut(client_call) else {
+        let Some(call) = self.client_calls.get_mut(client_call) else {
             return;
         };
-        known.send_count += 1;
-        let (class, deadline, tries) = (known.class, known.deadline, known.send_count);
-        let (group, parent) = (known.group, known.parent);
-        let (tier, found) = match (group, parent) {
+        call.send_count += 1;
+        let (class, deadline, send_count) = (call.class, call.deadline, call.send_count);
+        let (group, parent) = (call.group, call.parent);
+        let (tier, balancer) = match (group, parent) {
             (Some(group), _) => (0, self.balancer_of_caller(client_call, group as usize)),
             (None, Some(parent)) => self.balancer_of_upstream(parent),
             (None, None) => return,
         };
-        let Some(balancer) = found else {
+        let Some(balancer) = balancer else {
             self.record_trace(client_call, || "no balancer is there".to_owned());
             return self.conclude_client_call(client_call, &CallResult::Failed, true);
         };
         self.costs.count_request(tier);
         let effect = self.scenario.class[class].effect;
         let request = self.auditor.request_received(client_call, effect, deadline);
-        let out = SmallVec::new();
-        let mine = self.requests.add(Request {
+        let added_request = self.requests.add(Request {
             client_call,
             balancer,
             answered: false,
             live_attempts: 0,
-            pending_attempts: out,
+            pending_attempts: SmallVec::new(),
         });
-        debug_assert_eq!(request, mine);
-        if let Some(known) = self.client_calls.get_mut(client_call) {
-            known.open_requests += 1;
+        debug_assert_eq!(request, added_request);
+        if let Some(call) = self.client_calls.get_mut(client_call) {
+            call.open_requests += 1;
         }
         self.record_trace(client_call, || {
-            format!("try {tries} reaches balancer {balancer}")
+            format!("try {send_count} reaches balancer {balancer}")
         });
         self.request_reaches_balancer(request);
     }
@@ -107,14 +114,14 @@
     /// The tier that an attempt's upstream calls, and the balancer for that call.
     fn balancer_of_upstream(&mut self, attempt: u64) -> (usize, Option<u32>) {
         let attempt = self.attempts.get(attempt);
-        let host = attempt.map_or(0, |attempt| attempt.upstream as usize);
-        let (caller_tier, zone) = (self.upstreams[host].tier, self.upstreams[host].zone);
+        let upstream = attempt.map_or(0, |attempt| attempt.upstream as usize);
+        let (caller_tier, zone) = (self.upstreams[upstream].tier, self.upstreams[upstream].zone);
         let tier = self.downstream_by_tier[caller_tier].map_or(0, |(tier, _)| tier);
         self.meter.request_sent();
         if self.scenario.tier[tier].sidecar {
-            return (tier, self.sidecar_of(host));
+            return (tier, self.sidecar_of(upstream));
         }
-        let draw = self.upstreams[host].rng.next_u64(); // each upstream draws from its own stream
+        let draw = self.upstreams[upstream].rng.next_u64(); // each upstream draws from its own stream
         (tier, self.balancer_for(tier, Some(zone), draw))
     }
 
@@ -127,8 +134,8 @@
         else {
             return;
         };
-        let at = request.balancer as usize;
-        if let Some(until) = self.paused_until(at) {
+        let balancer = request.balancer as usize;
+        if let Some(until) = self.paused_until(balancer) {
             return self.event_queue.at(until, Event::RequestReaches(number));
         }
         let Some(client_call) = self.client_calls.get(request.client_call) else {
@@ -142,10 +149,10 @@
                 .group
                 .map_or(0, |group| self.tenant_by_group[group as usize]),
             work: None,
-            deadline: self.balancers[at].local_time(client_call.deadline),
+            deadline: self.balancers[balancer].local_time(client_call.deadline),
             max_attempts: u32::MAX,
         };
-        self.handle_input(at, Input::Call(call));
+        self.handle_input(balancer, Input::Call(call));
     }
 
     /// The balancer at the other end of the connection that the front provides for a call, if its process is
@@ -161,19 +168,19 @@
             || self.behavior_rngs[group].random_range(..zones),
             usize::from,
         );
-        let (mut connection, fresh) =
+        let (mut connection, is_new) =
             self.front
                 .as_mut()?
                 .acquire(zone, now, &mut self.front_rng)?;
-        let at = connection.balancer as usize;
-        let target = &self.balancers[at];
-        if fresh {
-            if !target.alive || target.draining {
-                self.costs.count(now, 0, Cost::Unreached, at);
+        let balancer = connection.balancer as usize;
+        let state = &self.balancers[balancer];
+        if is_new {
+            if !state.alive || state.draining {
+                self.costs.count(now, 0, Cost::Unreached, balancer);
                 return None;
             }
-            connection.incarnation = target.incarnation;
-            self.costs.count(now, 0, Cost::CallerConnections, at);
+            connection.incarnation = state.incarnation;
+            self.costs.count(now, 0, Cost::CallerConnections, balancer);
         }
         if let Some(client_call) = self.client_calls.get_mut(client_call) {
             client_call.connection = Some(connection);
@@ -196,8 +203,8 @@
             .get_mut(client_call)
             .and_then(|client_call| client_call.connection.take());
         let Some(connection) = connection else { return };
-        let target = &self.balancers[connection.balancer as usize];
-        if target.alive && !target.draining && target.incarnation == connection.incarnation {
+        let state = &self.balancers[connection.balancer as usize];
+        if state.alive && !state.draining && state.incarnation == connection.incarnation {
             let now = self.event_queue.now();
             self.front
                 .iter_mut()
@@ -205,6 +212,8 @@
         }
     }
 
+    /// A live balancer of a tier, preferably in the caller's zone; `draw` is a random number that selects the balancer,
+    /// and the zone of a caller without one.
     pub(super) fn balancer_for(&self, tier: usize, zone: Option<u8>, draw: u64) -> Option<u32> {
         let zones = self.scenario.zones.len();
         let first = zone.map_or((draw >> 32) as usize % zones, usize::from);
@@ -213,10 +222,9 @@
             let balancers = &self.balancers_by_zone[tier][(first + step) % zones];
             let count = balancers.len();
             let start = draw as u32 as usize;
-            let alive = (0..count).map(|at| balancers[(start + at) % count]);
-            if let Some(balancer) = alive
-                .into_iter()
-                .find(|&at| self.balancers[at as usize].alive)
+            let mut candidates = (0..count).map(|offset| balancers[(start + offset) % count]);
+            if let Some(balancer) =
+                candidates.find(|&balancer| self.balancers[balancer as usize].alive)
             {
                 return Some(balancer);
             }
@@ -225,13 +233,13 @@
     }
 
     /// Delivers a balancer's result to the caller.
-    pub(super) fn client_call_answered(&mut self, number: u64, verdict: &CallResult<()>) {
-        self.conclude_client_call(number, verdict, false);
+    pub(super) fn client_call_answered(&mut self, number: u64, result: &CallResult<()>) {
+        self.conclude_client_call(number, result, false);
     }
 
-    /// Ends a client call with a result, or schedules its retry. `unseen` means that no balancer received the
+    /// Ends a client call with a result, or schedules its retry. `unreceived` means that no balancer received the
     /// request, so that a retry is safe.
-    fn conclude_client_call(&mut self, number: u64, verdict: &CallResult<()>, unseen: bool) {
+    fn conclude_client_call(&mut self, number: u64, result: &CallResult<()>, unreceived: bool) {
         self.release_caller_connection(number);
         let now = self.event_queue.now();
         let Some(client_call) = self.client_calls.get(number) else {
@@ -241,27 +249,27 @@
             return;
         }
         let (class, group, measured) = (client_call.class, client_call.group, client_call.measured);
-        let (took, parent) = (now - client_call.created_at, client_call.parent);
+        let (latency, parent) = (now - client_call.created_at, client_call.parent);
         let closed_loop = client_call.closed_loop;
         self.record_trace(number, || {
             format!(
                 "its caller has {} after {:.1} ms",
-                call_trace::result_text(verdict),
-                took as f64 / 1e6
+                call_trace::result_text(result),
+                latency as f64 / 1e6
             )
         });
         let group = group.map(|group| group as usize);
         if let Some(group) = group
-            && let Some(wait) = self.retry_wait(number, group, verdict, unseen)
+            && let Some(wait) = self.retry_wait(number, group, result, unreceived)
         {
             return self.event_queue.after(wait, Event::CallerRetries(number));
         }
-        let outcome = self.call_outcome(class, took, verdict);
+        let outcome = self.call_outcome(class, latency, result);
         if let Some(client_call) = self.client_calls.get_mut(number) {
             client_call.concluded = true;
         }
         if let Some(group) = group {
-            self.meter.ended(class, outcome, took, measured);
+            self.meter.ended(class, outcome, latency, measured);
             if closed_loop {
                 self.plan_closed_loop_call(group);
             }
@@ -272,40 +280,40 @@
         self.forget_client_call(number);
     }
 
-    /// Delay before a caller's retry; `None` if the caller gives up. `unseen` means that no balancer received
+    /// Delay before a caller's retry; `None` if the caller gives up. `unreceived` means that no balancer received
     /// the request.
     fn retry_wait(
         &mut self,
         number: u64,
         group: usize,
         result: &CallResult<()>,
-        unseen: bool,
+        unreceived: bool,
     ) -> Option<Time> {
         let call = self.client_calls.get(number)?;
         if *result == CallResult::Served(()) {
             return None;
         }
         // Callers, like balancers, know which requests must not run twice.
-        let may = unseen
+        let may_repeat = unreceived
             || matches!(result, CallResult::Rejected(_))
             || self.scenario.class[call.class].effect != CallEffect::Unsafe;
         let callers = &self.scenario.callers[group];
         let rng = &mut self.behavior_rngs[group];
-        let wait = callers
+        let delay = callers
             .retries
             .delay(call.send_count, || rng.random::<f64>());
         let retry_after = match result {
             CallResult::Rejected(after) if chance(rng, callers.honors_retry_after) => *after,
             _ => 0,
         };
-        let wait = wait.filter(|_| may)?.max(retry_after);
-        (self.event_queue.now() + wait < call.deadline).then_some(wait)
+        let delay = delay.filter(|_| may_repeat)?.max(retry_after);
+        (self.event_queue.now() + delay < call.deadline).then_some(delay)
     }
 
-    fn call_outcome(&self, class: usize, took: Time, result: &CallResult<()>) -> CallOutcome {
+    fn call_outcome(&self, class: usize, latency: Time, result: &CallResult<()>) -> CallOutcome {
         let latency_target = self.scenario.class[class].latency_target.0;
         match result {
-            CallResult::Served(()) if took <= latency_target => CallOutcome::OnTime,
+            CallResult::Served(()) if latency <= latency_target => CallOutcome::OnTime,
             CallResult::Served(()) => CallOutcome::Late,
             CallResult::Rejected(_) => CallOutcome::Refused,
             CallResult::Failed => CallOutcome::Failed,
@@ -322,6 +330,7 @@
         }
     }
 
+    /// Removes a call once it has its result and no open requests.
     pub(super) fn forget_client_call(&mut self, number: u64) {
         if self
             .client_calls
--- a/crates/emulator/src/world/coordinators.rs
+++ b/crates/emulator/src/world/coordinators.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::evacuation::{EvacuationTracker, ShareChange};
 use crate::scenario::{EvacuationConfig, FalseReport};
-use woadstall_engine::decisions::{FailureDomain, HealthVerdict as Finding};
+use woadstall_engine::decisions::{FailureDomain, HealthVerdict};
 use woadstall_engine::{AttemptInFlight, AttemptRecord};
 use woadstall_evacuation::{Coordinator, CoordinatorSettings, ListedServer, Topology};
 use woadstall_health_reports::{AttemptId, CompletedAttempt, PendingAttempt};
@@ -21,7 +21,7 @@
 }
 
 impl Coordinators {
-    fn new(of: &EvacuationConfig, scenario: &Scenario, balancers: &[Balancer]) -> Self {
+    fn new(config: &EvacuationConfig, scenario: &Scenario, balancers: &[Balancer]) -> Self {
         let classes: Vec<String> = scenario
             .class
             .iter()
@@ -40,7 +40,7 @@
             })
             .collect();
         let mut false_reporters = vec![None; balancers.len()];
-        if let Some(false_reporting) = &of.false_reporting {
+        if let Some(false_reporting) = &config.false_reporting {
             let count = (balancers.len() as f64 * false_reporting.part).round() as usize;
             false_reporters
                 .iter_mut()
@@ -48,7 +48,7 @@
                 .for_each(|reporter| *reporter = Some(false_reporting.report));
         }
         Self {
-            interval: of.interval.0,
+            interval: config.interval.0,
             coordinators: settings.iter().cloned().map(Coordinator::new).collect(),
             listed_revisions: vec![u64::MAX; balancers.len()],
             tracker: EvacuationTracker::new(scenario.zones.clone(), balancers.len()),
@@ -60,12 +60,12 @@
     /// Applies a balancer's false reporting, if it has any, to a completed attempt.
     fn falsify(
         &self,
-        at: usize,
+        balancer: usize,
         zone_of: impl Fn(ServerId) -> Option<usize>,
         completed: CompletedAttempt,
     ) -> CompletedAttempt {
-        let own = self.settings[at].zone;
-        match self.false_reporters[at] {
+        let own_zone = self.settings[balancer].zone;
+        match self.false_reporters[balancer] {
             None => completed,
             Some(FalseReport::NoCallFails) => CompletedAttempt {
                 outcome: Outcome::Ok,
@@ -75,7 +75,7 @@
                 outcome: Outcome::Error,
                 ..completed
             },
-            Some(FalseReport::OwnZoneCallsFail) if zone_of(completed.server) == Some(own) => {
+            Some(FalseReport::OwnZoneCallsFail) if zone_of(completed.server) == Some(own_zone) => {
                 CompletedAttempt {
                     outcome: Outcome::Error,
                     ..completed
@@ -86,140 +86,152 @@
     }
 
     /// Passes a completed attempt to a balancer's coordinator, falsified if the balancer reports falsely.
-    fn record_completed(&mut self, now: Time, at: usize, seen: &AttemptRecord) {
+    fn record_completed(&mut self, now: Time, balancer: usize, record: &AttemptRecord) {
         let attempt = CompletedAttempt {
             id: AttemptId {
-                request: seen.id.0,
-                attempt: seen.attempt,
+                request: record.id.0,
+                attempt: record.attempt,
             },
-            server: seen.server,
-            class: seen.class,
-            outcome: seen.outcome,
-            duration_ns: seen.elapsed,
+            server: record.server,
+            class: record.class,
+            outcome: record.outcome,
+            duration_ns: record.elapsed,
         };
-        let zone_of = |server| self.coordinators[at].zone_of(server);
-        let attempt = self.falsify(at, zone_of, attempt);
-        self.coordinators[at].record_completed(now, &attempt);
+        let zone_of = |server| self.coordinators[balancer].zone_of(server);
+        let attempt = self.falsify(balancer, zone_of, attempt);
+        self.coordinators[balancer].record_completed(now, &attempt);
     }
 }
 
-fn pending_attempt(out: AttemptInFlight) -> PendingAttempt {
+fn pending_attempt(attempt: AttemptInFlight) -> PendingAttempt {
     PendingAttempt {
         id: AttemptId {
-            request: out.id.0,
-            attempt: out.attempt,
+            request: attempt.id.0,
+            attempt: attempt.attempt,
         },
-        server: out.server,
-        class: out.class,
-        age_ns: out.age,
+        server: attempt.server,
+        class: attempt.class,
+        age_ns: attempt.age,
     }
 }
 
 impl Simulation<'_> {
     /// Starts all coordinators.
     pub(super) fn start_coordinators(&mut self) {
-        let Some(of) = &self.scenario.evacuation else {
+        let Some(config) = &self.scenario.evacuation else {
             return;
         };
-        let coordinators = Coordinators::new(of, self.scenario, &self.balancers);
-        let every = coordinators.interval;
+        let coordinators = Coordinators::new(config, self.scenario, &self.balancers);
+        let interval = coordinators.interval;
         self.coordinators = Some(coordinators);
-        for at in 0..self.balancers.len() {
-            self.reset_coordinator(at);
+        for balancer in 0..self.balancers.len() {
+            self.reset_coordinator(balancer);
             // The first rounds are spread over one interval.
-            let first = every * (at as Time + 1) / self.balancers.len() as Time;
+            let first_round = interval * (balancer as Time + 1) / self.balancers.len() as Time;
             self.event_queue
-                .at(first.max(1), Event::CoordinatorTimer(at as u32));
+                .at(first_round.max(1), Event::CoordinatorTimer(balancer as u32));
         }
     }
 
     /// Replaces a balancer's coordinator by an empty one, as its process starts.
-    pub(super) fn reset_coordinator(&mut self, at: usize) {
+    pub(super) fn reset_coordinator(&mut self, balancer: usize) {
         let Some(coordinators) = &mut self.coordinators else {
             return;
         };
-        coordinators.coordinators[at] = Coordinator::new(coordinators.settings[at].clone());
-        coordinators.listed_revisions[at] = u64::MAX;
+        coordinators.coordinators[balancer] =
+            Coordinator::new(coordinators.settings[balancer].clone());
+        coordinators.listed_revisions[balancer] = u64::MAX;
         coordinators
             .tracker
-            .balancer_started(self.event_queue.now(), at);
-        self.balancers[at].agent.record_attempts();
+            .balancer_started(self.event_queue.now(), balancer);
+        self.balancers[balancer].agent.record_attempts();
     }
 
     /// Runs one round of a balancer's coordinator.
-    pub(super) fn coordinator_timer(&mut self, at: usize) {
+    pub(super) fn coordinator_timer(&mut self, balancer: usize) {
         let now = self.event_queue.now();
         let Some(coordinators) = &self.coordinators else {
             return;
         };
-        self.event_queue
-            .after(coordinators.interval, Event::CoordinatorTimer(at as u32));
-        if self.balancers[at].alive && self.paused_until(at).is_none() {
+        self.event_queue.after(
+            coordinators.interval,
+            Event::CoordinatorTimer(balancer as u32),
+        );
+        if self.balancers[balancer].alive && self.paused_until(balancer).is_none() {
             let node = self
                 .members
                 .as_mut()
-                .and_then(|members| members.take_node(at));
+                .and_then(|members| members.take_node(balancer));
             if let Some(mut node) = node {
-                let findings = self.step_coordinator(now, at, &mut node);
+                let verdicts = self.step_coordinator(now, balancer, &mut node);
                 if let Some(members) = &mut self.members {
-                    members.put_node(at, node);
+                    members.put_node(balancer, node);
                 }
-                self.flush_member(at);
-                if !findings.is_empty() {
-                    self.handle_input(at, Input::HealthVerdicts(&findings));
+                self.flush_member(balancer);
+                if !verdicts.is_empty() {
+                    self.handle_input(balancer, Input::HealthVerdicts(&verdicts));
                 }
             }
         }
     }
 
-    fn step_coordinator(&mut self, now: Time, at: usize, node: &mut Node) -> Vec<Finding> {
+    /// Passes a balancer's list and attempts to its coordinator, and returns the verdicts of the coordinator's round.
+    fn step_coordinator(
+        &mut self,
+        now: Time,
+        balancer: usize,
+        node: &mut Node,
+    ) -> Vec<HealthVerdict> {
         let Some(coordinators) = &mut self.coordinators else {
             return Vec::new();
         };
-        let balancer = &mut self.balancers[at];
-        let local = balancer.local_time(now);
-        let observed = balancer.agent.take_attempt_records();
-        if let Some((changes, all)) = balancer
+        let state = &mut self.balancers[balancer];
+        let local = state.local_time(now);
+        let completed = state.agent.take_attempt_records();
+        if let Some((revision, upstreams)) = state
             .agent
-            .listed_upstreams(coordinators.listed_revisions[at])
+            .listed_upstreams(coordinators.listed_revisions[balancer])
         {
-            coordinators.listed_revisions[at] = changes;
-            let all = all.into_iter();
-            coordinators.coordinators[at].set_servers(all.map(|of| ListedServer {
-                server: of.server,
-                name: of.name,
-                boot_ms: of.boot_ms,
-                zone: usize::from(of.zone.0),
-                size: of.size.map(f64::from),
+            coordinators.listed_revisions[balancer] = revision;
+            let upstreams = upstreams.into_iter();
+            coordinators.coordinators[balancer].set_servers(upstreams.map(|upstream| {
+                ListedServer {
+                    server: upstream.server,
+                    name: upstream.name,
+                    boot_ms: upstream.boot_ms,
+                    zone: usize::from(upstream.zone.0),
+                    size: upstream.size.map(f64::from),
+                }
             }));
         }
-        for seen in observed {
-            coordinators.record_completed(now, at, &seen);
+        for record in completed {
+            coordinators.record_completed(now, balancer, &record);
         }
-        let outstanding = balancer.agent.attempts_in_flight(local).into_iter();
-        coordinators.coordinators[at].record_pending(now, outstanding.map(pending_attempt));
-        let turn = coordinators.coordinators[at].step(now, local / MS, node);
-        for line in turn.lines {
+        let pending = state.agent.attempts_in_flight(local).into_iter();
+        coordinators.coordinators[balancer].record_pending(now, pending.map(pending_attempt));
+        let round = coordinators.coordinators[balancer].step(now, local / MS, node);
+        for line in round.lines {
             self.meter.log_line(&line.to_string());
         }
-        for finding in &turn.verdicts {
-            if let FailureDomain::Zone(zone, None) = finding.domain {
-                let share = f64::from(finding.share);
+        for verdict in &round.verdicts {
+            if let FailureDomain::Zone(zone, None) = verdict.domain {
+                let share = f64::from(verdict.share);
                 coordinators.tracker.record_share_change(ShareChange {
                     at: now,
-                    balancer: at as u32,
+                    balancer: balancer as u32,
                     zone: zone.0,
                     share,
                 });
             }
         }
         // Verdicts expire by the balancer's own clock.
-        let until = |finding: &Finding| local + finding.until.saturating_sub(now);
-        turn.verdicts
+        let local_until = |verdict: &HealthVerdict| local + verdict.until.saturating_sub(now);
+        round
+            .verdicts
             .iter()
-            .map(|finding| Finding {
-                until: until(finding),
-                ..*finding
+            .map(|verdict| HealthVerdict {
+                until: local_until(verdict),
+                ..*verdict
             })
             .collect()
     }
--- a/crates/emulator/src/world/dispatch.rs
+++ b/crates/emulator/src/world/dispatch.rs
@@ -25,27 +25,28 @@
 }
 
 impl Simulation<'_> {
-    pub(super) fn dispatch(&mut self, at: usize, send: &SendAttempt) {
+    /// Sends an attempt that a balancer's agent asked for.
+    pub(super) fn dispatch(&mut self, balancer: usize, send: &SendAttempt) {
         let now = self.event_queue.now();
         let host = Self::host_by_address(send.to.address);
         let request = self.request_by_id(send.id);
-        self.auditor.sent(now, request, at, host);
+        self.auditor.sent(now, request, balancer, host);
         let Some(&upstream) = self.upstream_by_host.get(host as usize) else {
             return;
         };
         let upstream = upstream as usize;
-        let Some(known) = self.requests.get_mut(request) else {
+        let Some(known_request) = self.requests.get_mut(request) else {
             return;
         };
-        known.live_attempts += 1;
-        let client_call = known.client_call;
-        self.count_attempt(at, upstream, host, send.attempt);
+        known_request.live_attempts += 1;
+        let client_call = known_request.client_call;
+        self.count_attempt(balancer, upstream, host, send.attempt);
         let server = send.to.server.0 as usize;
-        let outgoing = self.open_connection(at, upstream, host, server);
+        let outgoing = self.open_connection(balancer, upstream, host, server);
         let number = self.attempts.add(Attempt {
             request,
             number: send.attempt,
-            balancer: at as u32,
+            balancer: balancer as u32,
             upstream: upstream as u32,
             host,
             process: self.upstreams[upstream].process,
@@ -58,19 +59,20 @@
             downstream_failed: false,
             sent_at: now,
         });
-        if let Some(known) = self.requests.get_mut(request) {
-            known.pending_attempts.push((send.attempt, number));
+        if let Some(known_request) = self.requests.get_mut(request) {
+            known_request.pending_attempts.push((send.attempt, number));
         }
         let name = &self.upstreams[upstream].name;
         let text = format!(
-            "balancer {at} sends attempt {} to {name} (host {host})",
+            "balancer {balancer} sends attempt {} to {name} (host {host})",
             send.attempt
         );
         self.record_trace(client_call, || text);
-        let until = self.balancers[at].simulated_time(send.until);
-        self.event_queue.at(until, Event::AttemptExpired(number));
+        let expires_at = self.balancers[balancer].simulated_time(send.until);
+        self.event_queue
+            .at(expires_at, Event::AttemptExpired(number));
         let transit = if outgoing.available {
-            self.transit(at, upstream, client_call, &outgoing)
+            self.transit(balancer, upstream, client_call, &outgoing)
         } else {
             Transit::Failed(0, Outcome::Moot)
         };
@@ -78,15 +80,16 @@
     }
 
     /// Counts an attempt and its costs.
-    fn count_attempt(&mut self, at: usize, upstream: usize, host: u32, attempt: u32) {
-        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        let crosses_zones = self.balancers[at].zone != self.upstreams[upstream].zone;
+    fn count_attempt(&mut self, balancer: usize, upstream: usize, host: u32, attempt: u32) {
+        let (now, tier) = (self.event_queue.now(), self.balancers[balancer].tier);
+        let crosses_zones = self.balancers[balancer].zone != self.upstreams[upstream].zone;
         self.meter.sent(attempt, crosses_zones, host);
         if attempt > 0 {
-            self.costs.count(now, tier, Cost::Retries, at);
+            self.costs.count(now, tier, Cost::Retries, balancer);
         }
         if crosses_zones {
-            self.costs.count(now, tier, Cost::CrossZoneAttempts, at);
+            self.costs
+                .count(now, tier, Cost::CrossZoneAttempts, balancer);
         }
     }
 
@@ -94,15 +97,15 @@
     /// the upstream.
     fn open_connection(
         &mut self,
-        at: usize,
+        balancer: usize,
         upstream: usize,
         host: u32,
         server: usize,
     ) -> Outgoing {
-        self.remember_host(at, host, server);
-        let (epoch, reused) = self.take_idle(at, upstream, host as usize);
-        let available = reused || self.make_room_for_connection(at);
-        let refused = !reused && available && self.connect(at, upstream);
+        self.remember_host(balancer, host, server);
+        let (epoch, reused) = self.take_idle(balancer, upstream, host as usize);
+        let available = reused || self.make_room_for_connection(balancer);
+        let refused = !reused && available && self.connect(balancer, upstream);
         Outgoing {
             epoch,
             reused,
@@ -111,28 +114,29 @@
         }
     }
 
-    fn remember_host(&mut self, at: usize, host: u32, server: usize) {
-        let balancer = &mut self.balancers[at];
-        if balancer.pools.len() <= host as usize {
-            let hosts = self.upstream_by_host.len().max(host as usize + 1);
-            balancer.pools.resize(hosts, ConnectionPool::default());
+    /// Records the host of a balancer's server, and provides the connection pool for the host.
+    fn remember_host(&mut self, balancer: usize, host: u32, server: usize) {
+        let state = &mut self.balancers[balancer];
+        if state.pools.len() <= host as usize {
+            let host_count = self.upstream_by_host.len().max(host as usize + 1);
+            state.pools.resize(host_count, ConnectionPool::default());
         }
-        if balancer.host_by_server.len() <= server {
-            balancer.host_by_server.resize(server + 1, u32::MAX);
+        if state.host_by_server.len() <= server {
+            state.host_by_server.resize(server + 1, u32::MAX);
         }
-        balancer.host_by_server[server] = host;
+        state.host_by_server[server] = host;
     }
 
     /// Takes an idle connection to the present process if it is younger than the idle timeout, and closes
     /// expired ones. Returns the pool's epoch and whether a connection was reused.
-    fn take_idle(&mut self, at: usize, upstream: usize, host: usize) -> (u32, bool) {
+    fn take_idle(&mut self, balancer: usize, upstream: usize, host: usize) -> (u32, bool) {
         let now = self.event_queue.now();
         let (alive, process) = (
             self.upstreams[upstream].alive,
             self.upstreams[upstream].process,
         );
-        let pool = &mut self.balancers[at].pools[host];
-        let (mut closed, former) = (0, pool.process);
+        let pool = &mut self.balancers[balancer].pools[host];
+        let (mut closed, former_process) = (0, pool.process);
         if pool.process != process {
             closed = pool.idle;
             *pool = ConnectionPool {
@@ -142,31 +146,32 @@
                 idle_since: 0,
             };
         }
-        let fresh = pool.idle > 0 && now - pool.idle_since < self.scenario.limits.idle_timeout.0;
-        let reused = fresh && alive;
+        let is_unexpired =
+            pool.idle > 0 && now - pool.idle_since < self.scenario.limits.idle_timeout.0;
+        let reused = is_unexpired && alive;
         if reused && !self.scenario.limits.http2 {
             pool.idle -= 1;
-        } else if !fresh {
+        } else if !is_unexpired {
             closed += std::mem::take(&mut pool.idle);
         }
         let epoch = pool.epoch;
-        self.connections_closed(at, host, former, closed);
+        self.connections_closed(balancer, host, former_process, closed);
         (epoch, reused)
     }
 
     /// Opens a connection; returns `true` if the upstream refuses it.
-    fn connect(&mut self, at: usize, upstream: usize) -> bool {
-        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        self.balancers[at].open_connections += 1;
+    fn connect(&mut self, balancer: usize, upstream: usize) -> bool {
+        let (now, tier) = (self.event_queue.now(), self.balancers[balancer].tier);
+        self.balancers[balancer].open_connections += 1;
         let refused = self.upstreams[upstream].alive && !self.upstreams[upstream].connect();
         let cost = if refused {
             Cost::ConnectionsRefused
         } else {
             Cost::Handshakes
         };
-        self.costs.count(now, tier, cost, at);
+        self.costs.count(now, tier, cost, balancer);
         if refused {
-            self.balancers[at].open_connections -= 1; // a refused connection does not count as open
+            self.balancers[balancer].open_connections -= 1; // a refused connection does not count as open
         }
         refused
     }
@@ -175,28 +180,31 @@
     /// process that listens at the address receives the request.
     fn transit(
         &mut self,
-        at: usize,
+        balancer: usize,
         upstream: usize,
         client_call: u64,
         outgoing: &Outgoing,
     ) -> Transit {
         let scenario = self.scenario;
-        let delay = self.delay(at, upstream, true);
-        let lost = self.is_lost(at, upstream, true);
-        let reset = chance(&mut self.balancers[at].network_rng, scenario.network.resets);
-        let trips = Time::from(
-            scenario.tier[self.balancers[at].tier]
+        let delay = self.delay(balancer, upstream, true);
+        let lost = self.is_lost(balancer, upstream, true);
+        let reset = chance(
+            &mut self.balancers[balancer].network_rng,
+            scenario.network.resets,
+        );
+        let round_trips = Time::from(
+            scenario.tier[self.balancers[balancer].tier]
                 .connections
                 .handshake_round_trips,
         );
         let handshake = if outgoing.reused {
             0
         } else {
-            2 * delay * trips
+            2 * delay * round_trips
         };
         let unreachable = lost
-            || self.is_partitioned(at, upstream, true)
-            || !outgoing.reused && self.is_partitioned(at, upstream, false);
+            || self.is_partitioned(balancer, upstream, true)
+            || !outgoing.reused && self.is_partitioned(balancer, upstream, false);
         if unreachable && !outgoing.reused {
             Transit::Failed(scenario.limits.connect_timeout.0, Outcome::ConnectFailed)
         } else if unreachable {
--- a/crates/emulator/src/world/entities.rs
+++ b/crates/emulator/src/world/entities.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use woadstall_engine::{Lifecycle, ServerId, Time};
 
-/// One operation that a caller or an upstream wants done, including its retries.
+/// One call of a caller or of an upstream, across all its retries.
 pub(super) struct ClientCall {
     pub(super) class: usize,
     /// Group of the caller; `None` for a call from an upstream.
@@ -29,14 +29,19 @@
     pub(super) executed_groups: SmallVec<[(u32, Time); 1]>,
 }
 
+/// One request at a balancer: a client call's first send or a retry of its caller.
 pub(super) struct Request {
     pub(super) client_call: u64,
     pub(super) balancer: u32,
     pub(super) answered: bool,
+    /// Attempts that have not ended both at the balancer and at their upstream.
     pub(super) live_attempts: u32,
+    /// Attempts whose outcome the balancer has not received: the attempt's number within the request, and its key in
+    /// the simulation.
     pub(super) pending_attempts: SmallVec<[(u32, u64); 1]>,
 }
 
+/// One attempt of a balancer at a request.
 pub(super) struct Attempt {
     pub(super) request: u64,
     pub(super) number: u32,
@@ -62,8 +67,12 @@
 /// Connections from a balancer to one host.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ConnectionPool {
+    /// Incremented when busy connections become unusable; an attempt returns its connection only to a pool of the
+    /// epoch in which it was sent.
     pub(super) epoch: u32,
+    /// Process of the upstream that the connections lead to.
     pub(super) process: u32,
+    /// Number of idle connections.
     pub(super) idle: u16,
     pub(super) idle_since: Time,
 }
@@ -83,9 +92,11 @@
     pub(super) open_connections: u32,
     /// Host of each server that the balancer sent to, by the balancer's own number for the server.
     pub(super) host_by_server: Vec<u32>,
+    /// Time at which the agent's timer is due; `Time::MAX` if none is scheduled.
     pub(super) planned_tick: Time,
     pub(super) alive: bool,
     pub(super) incarnation: u32,
+    /// End of the latest pause of the process.
     pub(super) resume_at: Time,
     /// The balancer drains: it gets no new connections, and answers its open requests.
     pub(super) draining: bool,
@@ -93,12 +104,19 @@
     pub(super) subscribed: bool,
     /// Number of list changes that the balancer has applied.
     pub(super) applied_changes: u32,
-    /// Updates in transit: arrival time, and the number of changes they cover. Updates that arrive at the same
-    /// time are merged.
-    pub(super) updates: VecDeque<(Time, u32)>,
+    /// Updates in transit, in order. Updates that arrive at the same time are merged.
+    pub(super) updates: VecDeque<ListUpdate>,
+}
+
+/// An update of the upstream list on its way to a balancer.
+pub(super) struct ListUpdate {
+    pub(super) arrives_at: Time,
+    /// Number of list changes that the balancer has received with this update.
+    pub(super) change_count: u32,
 }
 
 impl Balancer {
+    /// Time that this balancer's clock shows at a simulated time.
     pub(super) fn local_time(&self, now: Time) -> Time {
         let drifted = (now as f64 * self.clock_drift) as i64;
         (EPOCH + now).saturating_add_signed(self.clock_offset + drifted)
@@ -106,10 +124,10 @@
 
     /// Simulated time at which this balancer's clock shows `local`.
     pub(super) fn simulated_time(&self, local: Time) -> Time {
-        let passed = local
+        let elapsed = local
             .saturating_add_signed(-self.clock_offset)
             .saturating_sub(EPOCH);
-        (passed as f64 / (1.0 + self.clock_drift)).round() as Time
+        (elapsed as f64 / (1.0 + self.clock_drift)).round() as Time
     }
 }
 
@@ -122,6 +140,7 @@
     pub(super) server: ServerId,
 }
 
+/// A change of the upstream list.
 pub(super) struct RegistryChange {
     pub(super) at: Time,
     pub(super) upstream: u32,
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -15,12 +15,11 @@
 mod faults;
 mod members;
 mod registry;
-
 mod upstreams;
 
 use self::entities::{
-    Attempt, Balancer, ClientCall, ConnectionPool, FaultTargets, PendingProbe, RegistryChange,
-    Request,
+    Attempt, Balancer, ClientCall, ConnectionPool, FaultTargets, ListUpdate, PendingProbe,
+    RegistryChange, Request,
 };
 use self::event::Event;
 use crate::agent::{BoxedAgent, Ticket};
@@ -85,22 +84,30 @@
     suspended_events: Vec<Vec<Event>>,
     /// Upstream that listens at each host.
     upstream_by_host: Vec<u32>,
+    /// All changes of the upstream list, in order.
     changes: Vec<RegistryChange>,
     arrival_rngs: Vec<ChaCha8Rng>,
     behavior_rngs: Vec<ChaCha8Rng>,
+    /// Share and position of each class that a group of callers calls.
     class_mix_by_group: Vec<Vec<(f64, usize)>>,
     zone_by_group: Vec<Option<u8>>,
     tenant_by_group: Vec<usize>,
+    /// Tier that the upstreams of each tier call, and their mean number of calls per request.
     downstream_by_tier: Vec<Option<(usize, f64)>>,
     fault_targets: Vec<FaultTargets>,
+    /// Zones whose upstreams are partitioned from other zones; the flag is `true` if messages to the zone are lost,
+    /// and `false` if messages from the zone are lost.
     partitioned_zones: Vec<(u8, bool)>,
+    /// Number of registry outages that are active.
     registry_outages: u32,
+    /// Latest time at which any paused balancer resumes.
     latest_resume_at: Time,
     members: Option<members::MembershipSimulation>,
     coordinators: Option<coordinators::Coordinators>,
     auditor: Auditor,
     meter: Meter,
     costs: CostCounters,
+    /// Number of the traced call, and its trace.
     call_trace: Option<(u64, Vec<(Time, String)>)>,
     /// Wraps each new agent; tests use it to record an agent or to make it misbehave.
     agent_wrapper: Option<&'a AgentWrapper<'a>>,
@@ -111,7 +118,7 @@
     /// Sets up a run. The scenario must have passed [`Scenario::check`].
     pub fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Self {
         let groups = scenario.callers.len() as u32;
-        let mut world = Self {
+        let mut simulation = Self {
             scenario,
             seed,
             policy,
@@ -128,7 +135,7 @@
                 .registry
                 .queries
                 .as_ref()
-                .map(|a| Discovery::new(a.reads_per_second, a.timeout.0)),
+                .map(|queries| Discovery::new(queries.reads_per_second, queries.timeout.0)),
             balancers_by_zone: Vec::new(),
             upstreams: Vec::new(),
             suspended_events: Vec::new(),
@@ -158,17 +165,17 @@
             event_count: 0,
         };
         for callers in &scenario.callers {
-            world.class_mix_by_group.push(scenario.mix(callers));
-            world
+            simulation.class_mix_by_group.push(scenario.mix(callers));
+            simulation
                 .zone_by_group
                 .push(scenario.zone(&callers.zone).unwrap_or(None));
             let tenant = callers.tenant.as_ref();
             let tenant = tenant
                 .and_then(|name| scenario.tenant.iter().position(|known| known.name == *name));
-            world.tenant_by_group.push(tenant.unwrap_or(0));
+            simulation.tenant_by_group.push(tenant.unwrap_or(0));
         }
-        world.build();
-        world
+        simulation.build();
+        simulation
     }
 
     /// Records the events of one call in [`RunResult::call_trace`].
@@ -179,23 +186,21 @@
     /// Replaces each balancer's agent by a wrapped one, and wraps all agents that are created later.
     pub fn wrap_agents(&mut self, wrap: &'a AgentWrapper<'a>) {
         self.agent_wrapper = Some(wrap);
-        for at in 0..self.balancers.len() {
-            let agent = self.new_agent(at);
-            self.balancers[at].agent = agent;
+        for balancer in 0..self.balancers.len() {
+            let agent = self.new_agent(balancer);
+            self.balancers[balancer].agent = agent;
         }
     }
 
     /// Creates an agent for a balancer, with the seed of its next incarnation.
-    fn new_agent(&mut self, at: usize) -> BoxedAgent {
+    fn new_agent(&mut self, balancer: usize) -> BoxedAgent {
         let now = self.event_queue.now();
-        let balancer = &mut self.balancers[at];
-        let (settings, local) = (
-            self.scenario.settings(balancer.tier, balancer.zone),
-            balancer.local_time(now),
-        );
+        let state = &mut self.balancers[balancer];
+        let settings = self.scenario.settings(state.tier, state.zone);
+        let local = state.local_time(now);
         let agent = self
             .policy
-            .agent(settings, balancer.seed_rng.next_u64(), local);
+            .agent(settings, state.seed_rng.next_u64(), local);
         match self.agent_wrapper {
             Some(wrap) => wrap(agent),
             None => agent,
@@ -204,13 +209,13 @@
 
     /// Runs the simulation to its end.
     pub fn run(mut self) -> RunResult {
-        for at in 0..self.balancers.len() {
-            self.send_full_list(at, 0);
+        for balancer in 0..self.balancers.len() {
+            self.send_full_list(balancer, 0);
         }
         self.start_members();
         self.start_coordinators();
-        let longest = self.scenario.longest_deadline().0;
-        let end = self.scenario.duration.0 + longest + DRAIN_TIME;
+        let longest_deadline = self.scenario.longest_deadline().0;
+        let end = self.scenario.duration.0 + longest_deadline + DRAIN_TIME;
         // A process that is paused at the end must be resumed, or its requests would be reported as lost.
         while let Some(event) = self.event_queue.next(end.max(self.latest_resume_at)) {
             self.event_count += 1;
@@ -225,7 +230,7 @@
             .sum();
         self.auditor.end(now, open);
         let members = self.finish_members();
-        let evacuated = self.finish_coordinators();
+        let evacuation = self.finish_coordinators();
         let trace = self.call_trace.map(|(_, trace)| trace).unwrap_or_default();
         let names: Vec<String> = self
             .scenario
@@ -234,18 +239,18 @@
             .map(|tier| tier.name.clone())
             .collect();
         let costs = self.costs.rows(&names);
-        let end = self
+        let result = self
             .meter
             .end(self.auditor.findings(), self.event_count, trace);
-        let end = RunResult {
+        let result = RunResult {
             costs,
             members,
-            evacuation: evacuated,
-            ..end
+            evacuation,
+            ..result
         };
         RunResult {
-            bounds: self.scenario.evaluate(&end),
-            ..end
+            bounds: self.scenario.evaluate(&result),
+            ..result
         }
     }
 
@@ -294,8 +299,8 @@
             Event::FrontNoticed {
                 balancer,
                 incarnation,
-                out,
-            } => self.front_noticed(balancer as usize, incarnation, out),
+                down,
+            } => self.front_noticed(balancer as usize, incarnation, down),
             Event::RollBalancer {
                 balancer,
                 incarnation,
@@ -309,12 +314,12 @@
             } => self.roll_upstream(upstream, step, fault as usize),
             Event::UpstreamBoots(upstream) => self.boot_upstream(upstream as usize),
             Event::DeathNoticed { upstream, process } => self.death_noticed(upstream, process),
-            Event::BalancerStarts { balancer, stale } => {
-                self.start_balancer(balancer as usize, stale)
+            Event::BalancerStarts { balancer, list_age } => {
+                self.start_balancer(balancer as usize, list_age)
             }
             Event::EndOfStep => self.end_step(),
             Event::MemberTimer { balancer, at } => self.member_timer(balancer as usize, at),
-            Event::MessageArrives(messages) => self.receive_member_message(messages),
+            Event::MessageArrives(message) => self.receive_member_message(message),
             Event::CheckSuspects(balancer) => self.check_suspects(balancer as usize),
             Event::RecordPathReports => self.record_member_path_reports(),
             Event::CoordinatorTimer(balancer) => self.coordinator_timer(balancer as usize),
@@ -326,15 +331,19 @@
     fn end_step(&mut self) {
         let now = self.event_queue.now();
         self.auditor.check_overdue(now, self.pause_grace(now));
-        let tiers = self.scenario.tier.len();
-        let mut speed = vec![0.0; tiers];
+        let tier_count = self.scenario.tier.len();
+        let mut tier_capacity = vec![0.0; tier_count];
         for upstream in &self.upstreams {
             if !upstream.draining {
-                speed[upstream.tier] += upstream.speed(now);
+                tier_capacity[upstream.tier] += upstream.speed(now);
             }
         }
-        self.meter
-            .step(now, &speed, self.requests.len(), self.attempts.len());
+        self.meter.step(
+            now,
+            &tier_capacity,
+            self.requests.len(),
+            self.attempts.len(),
+        );
         if now < self.scenario.duration.0 {
             self.event_queue
                 .after(self.scenario.step.0, Event::EndOfStep);
--- a/crates/emulator/src/world/registry.rs
+++ b/crates/emulator/src/world/registry.rs
@@ -3,10 +3,13 @@
 use super::*;
 
 impl Simulation<'_> {
+    /// Start time of an upstream's process in milliseconds of Unix time; 0 if the process was warm from the start of
+    /// the run.
     pub(super) fn boot_ms(upstream: &Upstream) -> u64 {
         upstream.started.map_or(0, |started| (EPOCH + started) / MS)
     }
 
+    /// Entry of an upstream in the list that balancers receive.
     pub(super) fn entry(&self, upstream: u32, lifecycle: Lifecycle, boot_ms: u64) -> UpstreamEntry {
         let upstream = &self.upstreams[upstream as usize];
         let ip = Ipv4Addr::from(0x0a00_0000 | upstream.host);
@@ -30,6 +33,7 @@
         }
     }
 
+    /// Records a change of the upstream list, and publishes it unless the registry is down.
     pub(super) fn change_registry(&mut self, upstream: u32, lifecycle: Lifecycle) {
         let boot_ms = Self::boot_ms(&self.upstreams[upstream as usize]);
         self.changes.push(RegistryChange {
@@ -45,68 +49,76 @@
 
     /// Sends all changes so far to the subscribed balancers.
     pub(super) fn publish_changes(&mut self) {
-        let upto = self.changes.len() as u32;
-        for at in 0..self.balancers.len() {
-            if self.balancers[at].subscribed {
-                self.send_update(at, upto);
+        let change_count = self.changes.len() as u32;
+        for balancer in 0..self.balancers.len() {
+            if self.balancers[balancer].subscribed {
+                self.send_update(balancer, change_count);
             }
         }
     }
 
-    pub(super) fn send_update(&mut self, at: usize, upto: u32) {
+    /// Sends a balancer an update with the first `change_count` changes.
+    pub(super) fn send_update(&mut self, balancer: usize, change_count: u32) {
         let (now, registry) = (self.event_queue.now(), &self.scenario.registry);
-        let balancer = &mut self.balancers[at];
-        let jitter = (balancer.registry_rng.random::<f64>() * registry.jitter.0 as f64) as Time;
+        let state = &mut self.balancers[balancer];
+        let jitter = (state.registry_rng.random::<f64>() * registry.jitter.0 as f64) as Time;
         // Updates stay in order: none arrives before an earlier one.
-        let latest = balancer.updates.back().map_or(0, |(at, _)| *at);
-        let comes = latest.max(now + registry.delay.0 + jitter);
-        match balancer.updates.back_mut() {
-            Some(last) if last.0 == comes => last.1 = upto,
+        let latest = state.updates.back().map_or(0, |update| update.arrives_at);
+        let arrives_at = latest.max(now + registry.delay.0 + jitter);
+        match state.updates.back_mut() {
+            Some(last) if last.arrives_at == arrives_at => last.change_count = change_count,
             _ => {
-                balancer.updates.push_back((comes, upto));
-                let (balancer, incarnation) = (at as u32, balancer.incarnation);
+                state.updates.push_back(ListUpdate {
+                    arrives_at,
+                    change_count,
+                });
                 self.event_queue.at(
-                    comes,
+                    arrives_at,
                     Event::RegistryUpdate {
-                        balancer,
-                        incarnation,
+                        balancer: balancer as u32,
+                        incarnation: state.incarnation,
                     },
                 );
             }
         }
     }
 
-    pub(super) fn registry_updated(&mut self, event: Event, at: usize, incarnation: u32) {
-        if !self.balancers[at].alive || self.balancers[at].incarnation != incarnation {
+    /// Applies the updates of the upstream list that have reached a balancer by now.
+    pub(super) fn registry_updated(&mut self, event: Event, balancer: usize, incarnation: u32) {
+        if !self.balancers[balancer].alive || self.balancers[balancer].incarnation != incarnation {
             return;
         }
-        if let Some(until) = self.paused_until(at) {
+        if let Some(until) = self.paused_until(balancer) {
             return self.event_queue.at(until, event);
         }
         let now = self.event_queue.now();
-        let balancer = &mut self.balancers[at];
-        let (from, tier) = (balancer.applied_changes, balancer.tier);
-        while let Some(&(_, upto)) = balancer.updates.front().filter(|(comes, _)| *comes <= now) {
-            balancer.updates.pop_front();
-            balancer.applied_changes = balancer.applied_changes.max(upto);
-        }
-        let upto = balancer.applied_changes;
-        if from >= upto {
+        let state = &mut self.balancers[balancer];
+        let (already_applied, tier) = (state.applied_changes, state.tier);
+        while let Some(update) = state
+            .updates
+            .front()
+            .filter(|update| update.arrives_at <= now)
+        {
+            state.applied_changes = state.applied_changes.max(update.change_count);
+            state.updates.pop_front();
+        }
+        let change_count = state.applied_changes;
+        if already_applied >= change_count {
             return;
         }
         let mut entries = Vec::new();
-        for change in &self.changes[from as usize..upto as usize] {
+        for change in &self.changes[already_applied as usize..change_count as usize] {
             let upstream = &self.upstreams[change.upstream as usize];
             if upstream.tier == tier {
                 entries.push(self.entry(change.upstream, change.lifecycle, change.boot_ms));
                 let ready = change.lifecycle == Lifecycle::Ready;
                 self.auditor
-                    .notified(now, at, upstream.host, change.boot_ms, ready);
+                    .notified(now, balancer, upstream.host, change.boot_ms, ready);
             }
         }
         if !entries.is_empty() {
             self.handle_input(
-                at,
+                balancer,
                 Input::EndpointsListed {
                     entries: &entries,
                     is_complete: false,
@@ -115,24 +127,27 @@
         }
     }
 
-    /// Gives a balancer the complete list of `stale` ago, and sends the later changes as an update.
-    pub(super) fn send_full_list(&mut self, at: usize, stale: Time) {
+    /// Gives a balancer the complete list as it was `list_age` ago, and sends the later changes as an update.
+    pub(super) fn send_full_list(&mut self, balancer: usize, list_age: Time) {
         let now = self.event_queue.now();
-        let tier = self.balancers[at].tier;
-        let before = now.saturating_sub(stale);
-        let upto = self.changes.partition_point(|change| change.at <= before);
-        let mut state: Vec<Option<(Lifecycle, u64)>> = Vec::new();
+        let tier = self.balancers[balancer].tier;
+        let list_time = now.saturating_sub(list_age);
+        let listed_changes = self
+            .changes
+            .partition_point(|change| change.at <= list_time);
+        let mut entry_states: Vec<Option<(Lifecycle, u64)>> = Vec::new();
         // Upstreams that exist from the start; later ones appear in the changes.
-        let first: u32 = self.scenario.tier.iter().map(|tier| tier.upstreams).sum();
+        let initial_count: u32 = self.scenario.tier.iter().map(|tier| tier.upstreams).sum();
         for upstream in 0..self.upstreams.len() {
             let cold = self.scenario.tier[self.upstreams[upstream].tier].cold;
             let boot_ms = if cold { EPOCH / MS } else { 0 };
-            state.push(((upstream as u32) < first).then_some((Lifecycle::Ready, boot_ms)));
+            let is_initial = (upstream as u32) < initial_count;
+            entry_states.push(is_initial.then_some((Lifecycle::Ready, boot_ms)));
         }
-        for change in &self.changes[..upto] {
-            state[change.upstream as usize] = Some((change.lifecycle, change.boot_ms));
+        for change in &self.changes[..listed_changes] {
+            entry_states[change.upstream as usize] = Some((change.lifecycle, change.boot_ms));
         }
-        let listed = state
+        let listed = entry_states
             .iter()
             .enumerate()
             .filter_map(|(upstream, state)| Some((upstream as u32, (*state)?)));
@@ -140,61 +155,66 @@
             self.upstreams[*upstream as usize].tier == tier && *lifecycle != Lifecycle::Removed
         });
         let entries: Vec<_> = listed
-            .map(|(upstream, (incarnation, boot))| self.entry(upstream, incarnation, boot))
+            .map(|(upstream, (lifecycle, boot_ms))| self.entry(upstream, lifecycle, boot_ms))
             .collect();
-        self.balancers[at].applied_changes = upto as u32;
+        self.balancers[balancer].applied_changes = listed_changes as u32;
         self.handle_input(
-            at,
+            balancer,
             Input::EndpointsListed {
                 entries: &entries,
                 is_complete: true,
             },
         );
-        let all = self.changes.len() as u32;
-        if all > upto as u32 && self.registry_outages == 0 && self.balancers[at].subscribed {
-            self.send_update(at, all);
+        let change_count = self.changes.len() as u32;
+        if change_count > listed_changes as u32
+            && self.registry_outages == 0
+            && self.balancers[balancer].subscribed
+        {
+            self.send_update(balancer, change_count);
         }
     }
 
     /// Reads the list from discovery for a balancer, and subscribes the balancer to changes.
-    pub(super) fn query_registry(&mut self, at: usize) {
-        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
+    pub(super) fn query_registry(&mut self, balancer: usize) {
+        let (now, tier) = (self.event_queue.now(), self.balancers[balancer].tier);
         let Some(discovery) = &mut self.discovery else {
             return;
         };
         let read = discovery.read(now);
-        self.costs.count(now, tier, Cost::Reads, at);
-        let (balancer, incarnation) = (at as u32, self.balancers[at].incarnation);
-        let (until, succeeded) = match read {
-            Read::Answered(until) => (until, true),
-            Read::Failed(until) => (until, false),
+        self.costs.count(now, tier, Cost::Reads, balancer);
+        let incarnation = self.balancers[balancer].incarnation;
+        let (completed_at, succeeded) = match read {
+            Read::Answered(answered_at) => (answered_at, true),
+            Read::Failed(failed_at) => (failed_at, false),
         };
         self.event_queue.at(
-            until + self.scenario.registry.delay.0,
+            completed_at + self.scenario.registry.delay.0,
             Event::QueryCompleted {
-                balancer,
+                balancer: balancer as u32,
                 incarnation,
                 succeeded,
             },
         );
     }
 
-    pub(super) fn query_completed(&mut self, at: usize, incarnation: u32, succeeded: bool) {
-        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        if !self.balancers[at].alive || self.balancers[at].incarnation != incarnation {
+    /// Handles the end of a balancer's read: the balancer receives the changes that it does not know yet, or the
+    /// failure.
+    pub(super) fn query_completed(&mut self, balancer: usize, incarnation: u32, succeeded: bool) {
+        let (now, tier) = (self.event_queue.now(), self.balancers[balancer].tier);
+        if !self.balancers[balancer].alive || self.balancers[balancer].incarnation != incarnation {
             return;
         }
         if !succeeded || self.registry_outages > 0 {
-            self.costs.count(now, tier, Cost::FailedReads, at);
-            return self.handle_input(at, Input::DiscoveryFailed);
+            self.costs.count(now, tier, Cost::FailedReads, balancer);
+            return self.handle_input(balancer, Input::DiscoveryFailed);
         }
-        self.balancers[at].subscribed = true;
-        let upto = self.changes.len() as u32;
-        if self.balancers[at].applied_changes < upto {
-            self.send_update(at, upto);
+        self.balancers[balancer].subscribed = true;
+        let change_count = self.changes.len() as u32;
+        if self.balancers[balancer].applied_changes < change_count {
+            self.send_update(balancer, change_count);
         } else {
             self.handle_input(
-                at,
+                balancer,
                 Input::EndpointsListed {
                     entries: &[],
                     is_complete: false,
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -54,11 +54,11 @@
         let now = self.event_queue.now();
         let mean = self.scenario.class[class].service.mean();
         let target = &mut self.upstreams[upstream];
-        let warm = f64::from(target.workers()) * 1e9 / mean;
-        let Some(part) = target.count_cold_arrival(now, warm) else {
+        let warm_rate = f64::from(target.workers()) * 1e9 / mean;
+        let Some(relative_load) = target.count_cold_arrival(now, warm_rate) else {
             return false;
         };
-        self.auditor.cold_overload(now, &target.name, part);
+        self.auditor.cold_overload(now, &target.name, relative_load);
         true
     }
 
@@ -86,7 +86,8 @@
 
     pub(super) fn begin_work(&mut self, upstream: usize, attempt: u64, class: usize) {
         let now = self.event_queue.now();
-        let mut took = self.upstreams[upstream].service(now, &self.scenario.class[class].service);
+        let mut work_time =
+            self.upstreams[upstream].service(now, &self.scenario.class[class].service);
         let connections = &self.scenario.tier[self.upstreams[upstream].tier].connections;
         if connections.handshake_work.0 > 0
             && self
@@ -94,11 +95,11 @@
                 .get(attempt)
                 .is_some_and(|attempt| attempt.new_connection)
         {
-            took += self.upstreams[upstream].overhead(now, connections.handshake_work.0);
+            work_time += self.upstreams[upstream].overhead(now, connections.handshake_work.0);
         }
         let process = self.upstreams[upstream].process;
         self.event_queue.after(
-            took,
+            work_time,
             Event::WorkFinished {
                 attempt,
                 upstream: upstream as u32,
@@ -112,13 +113,14 @@
         let Some(attempt) = self.attempts.get(number) else {
             return;
         };
-        let (at, upstream) = (attempt.balancer as usize, attempt.upstream as usize);
-        if self.is_lost(at, upstream, false) || self.is_partitioned(at, upstream, false) {
+        let (balancer, upstream) = (attempt.balancer as usize, attempt.upstream as usize);
+        if self.is_lost(balancer, upstream, false) || self.is_partitioned(balancer, upstream, false)
+        {
             return self.drop_attempt(number);
         }
-        let way = self.delay(at, upstream, false);
+        let delay = self.delay(balancer, upstream, false);
         self.event_queue.after(
-            way,
+            delay,
             Event::ResponseArrived {
                 attempt: number,
                 outcome,
@@ -131,14 +133,14 @@
             return; // the process died in the meantime, and its work was lost
         }
         self.apply_effect(number);
-        let calls = self.downstream_by_tier[self.upstreams[upstream].tier];
+        let downstream = self.downstream_by_tier[self.upstreams[upstream].tier];
         let parent = self.attempts.get(number).and_then(|attempt| {
             let client_call = self.requests.get(attempt.request)?.client_call;
             self.client_calls
                 .get(client_call)
                 .map(|client_call| (client_call.class, client_call.deadline))
         });
-        let (Some((_, mean)), Some((class, deadline))) = (calls, parent) else {
+        let (Some((_, mean)), Some((class, deadline))) = (downstream, parent) else {
             return self.finish_attempt(number, upstream);
         };
         // A whole number of calls whose mean is `mean`.
@@ -181,12 +183,12 @@
         };
         attempt.open_downstream_calls -= 1;
         attempt.downstream_failed |= !succeeded;
-        let (left, upstream, process) = (
+        let (open_calls, upstream, process) = (
             attempt.open_downstream_calls,
             attempt.upstream as usize,
             attempt.process,
         );
-        if left == 0
+        if open_calls == 0
             && self.upstreams[upstream].alive
             && self.upstreams[upstream].process == process
         {
@@ -201,8 +203,9 @@
             .get(number)
             .is_some_and(|attempt| attempt.downstream_failed);
         let target = &mut self.upstreams[upstream];
-        let (lost, resets) = (target.active_faults.lost, target.active_faults.resets / 2.0);
-        if chance(&mut target.rng, lost) {
+        let (response_loss, resets) =
+            (target.active_faults.lost, target.active_faults.resets / 2.0);
+        if chance(&mut target.rng, response_loss) {
             self.drop_attempt(number);
         } else if chance(&mut self.upstreams[upstream].rng, resets) {
             self.respond(number, Outcome::Reset);
@@ -219,7 +222,8 @@
                 .get(request)
                 .is_some_and(|attempt| attempt.end_pending);
             if !waits {
-                dropped.push(request); // the connection is closed, which the upstream sees before it starts the work
+                // The balancer has closed the connection, which the upstream sees before it starts the work.
+                dropped.push(request);
             }
             waits
         });
@@ -261,8 +265,10 @@
             CallGroup::Cell => u32::from(upstream.cell),
         };
         if class.effect == CallEffect::Keyed {
-            let within = |(seen, at): &(u32, Time)| *seen == group && now < at + class.window.0;
-            if client_call.executed_groups.iter().any(within) {
+            let is_repeat = |(executed_group, executed_at): &(u32, Time)| {
+                *executed_group == group && now < executed_at + class.window.0
+            };
+            if client_call.executed_groups.iter().any(is_repeat) {
                 return;
             }
             client_call.executed_groups.push((group, now));
@@ -272,22 +278,23 @@
         self.record_trace(client_call_number, || format!("{name} has done it"));
     }
 
-    /// Kills an upstream's process. Its attempts are reset; with `done`, their work takes effect before.
-    pub(super) fn kill_upstream(&mut self, upstream: usize, done: bool) {
+    /// Kills an upstream's process and resets its attempts. With `work_takes_effect`, the work in progress takes
+    /// effect first, although no response is sent.
+    pub(super) fn kill_upstream(&mut self, upstream: usize, work_takes_effect: bool) {
         if !self.upstreams[upstream].alive {
             return;
         }
         let process = self.upstreams[upstream].process;
         self.upstreams[upstream].kill();
-        let here =
+        let is_at_process =
             |attempt: &Attempt| attempt.upstream as usize == upstream && attempt.process == process;
-        let lost = self
+        let lost_attempts = self
             .attempts
             .iter()
-            .filter(|(_, attempt)| here(attempt) && attempt.in_progress);
-        let lost: Vec<u64> = lost.map(|(number, _)| number).collect();
-        for number in lost {
-            if done {
+            .filter(|(_, attempt)| is_at_process(attempt) && attempt.in_progress);
+        let lost_attempts: Vec<u64> = lost_attempts.map(|(number, _)| number).collect();
+        for number in lost_attempts {
+            if work_takes_effect {
                 self.apply_effect(number);
             }
             if let Some(attempt) = self.attempts.get_mut(number) {
@@ -328,9 +335,9 @@
 
     // ---- Probes ----
 
-    pub(super) fn probe(&mut self, at: usize, peer: &Peer) {
-        let (now, tier) = (self.event_queue.now(), self.balancers[at].tier);
-        self.costs.count(now, tier, Cost::Probes, at);
+    pub(super) fn probe(&mut self, balancer: usize, peer: &Peer) {
+        let (now, tier) = (self.event_queue.now(), self.balancers[balancer].tier);
+        self.costs.count(now, tier, Cost::Probes, balancer);
         let host = Self::host_by_address(peer.address) as usize;
         let (Some(&upstream), Some(probed)) = (
             self.upstream_by_host.get(host),
@@ -341,16 +348,16 @@
         let timeout = probed.timeout.0;
         let (process, incarnation) = (
             self.upstreams[upstream as usize].process,
-            self.balancers[at].incarnation,
+            self.balancers[balancer].incarnation,
         );
-        let out = PendingProbe {
-            balancer: at as u32,
+        let pending = PendingProbe {
+            balancer: balancer as u32,
             incarnation,
             upstream,
             process,
             server: peer.server,
         };
-        let probe = self.probes.add(out);
+        let probe = self.probes.add(pending);
         self.event_queue.after(
             timeout,
             Event::ProbeCompleted {
@@ -358,40 +365,46 @@
                 in_flight: None,
             },
         );
-        if !self.is_partitioned(at, upstream as usize, true) {
-            let way = self.delay(at, upstream as usize, true);
-            self.event_queue.after(way, Event::ProbeArrives { probe });
+        if !self.is_partitioned(balancer, upstream as usize, true) {
+            let delay = self.delay(balancer, upstream as usize, true);
+            self.event_queue.after(delay, Event::ProbeArrives { probe });
         }
     }
 
     pub(super) fn probe_arrived(&mut self, probe: u64) {
-        let Some(out) = self.probes.get(probe) else {
+        let Some(pending) = self.probes.get(probe) else {
             return;
         };
-        let (at, upstream, process) = (out.balancer as usize, out.upstream as usize, out.process);
+        let (balancer, upstream, process) = (
+            pending.balancer as usize,
+            pending.upstream as usize,
+            pending.process,
+        );
         let target = &self.upstreams[upstream];
         let is_unresponsive = target.active_faults.unresponsive || target.active_faults.stopped;
         if target.alive
             && target.process == process
             && !is_unresponsive
-            && !self.is_partitioned(at, upstream, false)
+            && !self.is_partitioned(balancer, upstream, false)
         {
-            let (way, in_flight) = (
-                self.delay(at, upstream, false),
+            let (delay, in_flight) = (
+                self.delay(balancer, upstream, false),
                 Some(self.upstreams[upstream].in_flight()),
             );
             self.event_queue
-                .after(way, Event::ProbeCompleted { probe, in_flight });
+                .after(delay, Event::ProbeCompleted { probe, in_flight });
         }
     }
 
     /// Completes a probe by its answer or its timeout, whichever comes first.
     pub(super) fn probe_completed(&mut self, probe: u64, in_flight: Option<u32>) {
-        let Some(out) = self.probes.take(probe) else {
+        let Some(pending) = self.probes.take(probe) else {
             return;
         };
-        let (at, server) = (out.balancer as usize, out.server);
-        if !self.balancers[at].alive || self.balancers[at].incarnation != out.incarnation {
+        let (balancer, server) = (pending.balancer as usize, pending.server);
+        if !self.balancers[balancer].alive
+            || self.balancers[balancer].incarnation != pending.incarnation
+        {
             return;
         }
         let outcome = if in_flight.is_some() {
@@ -403,6 +416,6 @@
             figures: [in_flight as f32, 0.0, 0.0, 0.0],
             len: 1,
         });
-        self.handle_input(at, Input::ProbeEnded(server, outcome, load));
+        self.handle_input(balancer, Input::ProbeEnded(server, outcome, load));
     }
 }
