--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -9,7 +9,7 @@
 use woadstall_emulator::engine::{Command, Input, Lifecycle, Peer, RequestId, Time};
 use woadstall_emulator::{BalancerAgent, Policy, Rule, RunResult, Scenario, Simulation, Ticket};
 
-type Boxed = Box<dyn BalancerAgent + Send>;
+type BoxedAgent = Box<dyn BalancerAgent + Send>;
 
 /// Misbehavior of an agent.
 #[derive(Clone, Copy, PartialEq)]
@@ -24,19 +24,24 @@
 
 /// Wraps an agent and breaks one rule on purpose.
 struct MisbehavingAgent {
-    agent: Boxed,
+    agent: BoxedAgent,
     misbehavior: Misbehavior,
     now: Time,
-    more: VecDeque<Command<Ticket, ()>>,
+    /// Commands that the wrapper adds to the ones of the wrapped agent.
+    additional_commands: VecDeque<Command<Ticket, ()>>,
     classes: HashMap<RequestId, usize>,
     peers: HashMap<String, Peer>,
-    drained: Option<(String, Time)>,
+    /// Name of the upstream that was listed as draining last, and the time.
+    draining: Option<(String, Time)>,
+    /// Name of the upstream that started cold last.
     cold: Option<String>,
-    done: u32,
+    response_count: u32,
 }
 
 const SECOND: Time = 1_000_000_000;
-const EXTRA: u32 = 1_000;
+/// Added to the number of an attempt that the wrapper sends on its own.
+const ADDED_ATTEMPT: u32 = 1_000;
+/// Position of the unsafe class in the small scenario.
 const UNSAFE: usize = 1;
 
 impl BalancerAgent for MisbehavingAgent {
@@ -57,7 +62,7 @@
                         },
                     );
                     match entry.lifecycle {
-                        Lifecycle::Draining => self.drained = Some((entry.name.clone(), now)),
+                        Lifecycle::Draining => self.draining = Some((entry.name.clone(), now)),
                         Lifecycle::Ready if entry.boot_ms > 0 => {
                             self.cold = Some(entry.name.clone())
                         }
@@ -66,15 +71,15 @@
                 }
             }
             // The wrapped agent did not send the additional attempt.
-            Input::AttemptEnded { attempt, .. } if *attempt >= EXTRA => return,
+            Input::AttemptEnded { attempt, .. } if *attempt >= ADDED_ATTEMPT => return,
             _ => {}
         }
         self.agent.handle(now, input);
     }
 
     fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
-        if let Some(more) = self.more.pop_front() {
-            return Some(more);
+        if let Some(command) = self.additional_commands.pop_front() {
+            return Some(command);
         }
         let mut command = self.agent.next_command()?;
         match (&mut command, self.misbehavior) {
@@ -82,13 +87,14 @@
                 if self.classes.get(&send.id) == Some(&UNSAFE) =>
             {
                 let again = woadstall_emulator::engine::SendAttempt {
-                    attempt: send.attempt + EXTRA,
+                    attempt: send.attempt + ADDED_ATTEMPT,
                     ..*send
                 };
-                self.more.push_back(Command::SendAttempt(again));
+                self.additional_commands
+                    .push_back(Command::SendAttempt(again));
             }
             (Command::SendAttempt(send), Misbehavior::SendsToDraining) => {
-                if let Some((name, since)) = &self.drained
+                if let Some((name, since)) = &self.draining
                     && self.now > since + SECOND + SECOND / 1_000
                 {
                     (send.to.address, send.to.boot_ms) =
@@ -105,15 +111,14 @@
                 Command::Respond { request, .. },
                 Misbehavior::RespondsTwice | Misbehavior::NeverResponds,
             ) => {
-                self.done += 1;
-                if self.done == 100 && self.misbehavior == Misbehavior::NeverResponds {
+                self.response_count += 1;
+                if self.response_count == 100 && self.misbehavior == Misbehavior::NeverResponds {
                     return self.next_command();
                 }
-                if self.done == 100 {
-                    let verdict = woadstall_emulator::engine::CallResult::Failed;
-                    self.more.push_back(Command::Respond {
+                if self.response_count == 100 {
+                    self.additional_commands.push_back(Command::Respond {
                         request: *request,
-                        result: verdict,
+                        result: woadstall_emulator::engine::CallResult::Failed,
                     });
                 }
             }
@@ -132,17 +137,17 @@
 }
 
 fn run_misbehaving(scenario: &Scenario, misbehavior: Misbehavior) -> RunResult {
-    let wrap = |agent: Boxed| -> Boxed {
+    let wrap = |agent: BoxedAgent| -> BoxedAgent {
         Box::new(MisbehavingAgent {
             agent,
             misbehavior,
             now: 0,
-            more: VecDeque::new(),
+            additional_commands: VecDeque::new(),
             classes: HashMap::new(),
             peers: HashMap::new(),
-            drained: None,
+            draining: None,
             cold: None,
-            done: 0,
+            response_count: 0,
         })
     };
     let mut simulation = Simulation::new(scenario, Policy::Woadstall, 7);
@@ -163,10 +168,16 @@
 #[test]
 fn each_misbehavior_breaks_its_rule() {
     let scenario = small(ROLL);
-    let rules = |misbehavior| broken_rules(&run_misbehaving(&scenario, misbehavior));
-    assert_eq!(rules(Misbehavior::Nothing), []);
-    assert_eq!(rules(Misbehavior::SendsTwice), [Rule::NoEffectTwice]);
-    assert_eq!(rules(Misbehavior::SendsToDraining), [Rule::Drained]);
+    let rules_broken_by = |misbehavior| broken_rules(&run_misbehaving(&scenario, misbehavior));
+    assert_eq!(rules_broken_by(Misbehavior::Nothing), []);
+    assert_eq!(
+        rules_broken_by(Misbehavior::SendsTwice),
+        [Rule::NoEffectTwice]
+    );
+    assert_eq!(
+        rules_broken_by(Misbehavior::SendsToDraining),
+        [Rule::Drained]
+    );
     // The engine backs off from an upstream that is full, so overloading a cold one takes a higher load.
     let mut higher_load = scenario.clone();
     higher_load.callers[0].load = woadstall_emulator::Load::Constant(1_500.0);
@@ -181,10 +192,13 @@
         )),
         [Rule::Cold]
     );
-    assert_eq!(rules(Misbehavior::RespondsTwice), [Rule::OneAnswer]);
+    assert_eq!(
+        rules_broken_by(Misbehavior::RespondsTwice),
+        [Rule::OneAnswer]
+    );
     // The unanswered request is also still open at the end of the run.
     assert_eq!(
-        rules(Misbehavior::NeverResponds),
+        rules_broken_by(Misbehavior::NeverResponds),
         [Rule::OneAnswer, Rule::Conservation]
     );
 }
@@ -197,23 +211,26 @@
     let breach = end.first_breaches.first().unwrap();
     let mut simulation = Simulation::new(&scenario, Policy::Woadstall, 7);
     simulation.trace_call(breach.call.unwrap());
-    let story = simulation.run().call_trace;
-    let text: Vec<_> = story.iter().map(|(_, text)| text.as_str()).collect();
-    assert!(text[0].contains("reaches balancer"), "{text:?}");
+    let trace = simulation.run().call_trace;
+    let texts: Vec<_> = trace.iter().map(|(_, text)| text.as_str()).collect();
+    assert!(texts[0].contains("reaches balancer"), "{texts:?}");
+    assert!(
+        texts.iter().any(|line| line.contains("sends attempt 0")),
+        "{texts:?}"
+    );
     assert!(
-        text.iter().any(|line| line.contains("sends attempt 0")),
-        "{text:?}"
+        texts.last().unwrap().contains("its caller has"),
+        "{texts:?}"
     );
-    assert!(text.last().unwrap().contains("its caller has"), "{text:?}");
-    assert!(story.windows(2).all(|pair| pair[0].0 <= pair[1].0));
+    assert!(trace.windows(2).all(|pair| pair[0].0 <= pair[1].0));
 }
 
-/// Time, input and resulting commands of an agent.
-type Recorded = Arc<Mutex<Vec<(Time, String, String)>>>;
+/// Time, input and resulting commands of each input to an agent.
+type Recording = Arc<Mutex<Vec<(Time, String, String)>>>;
 
 struct Recorder {
-    agent: Boxed,
-    recording: Recorded,
+    agent: BoxedAgent,
+    recording: Recording,
 }
 
 impl BalancerAgent for Recorder {
@@ -242,9 +259,9 @@
 
 /// Passes the same inputs to a second engine and compares the commands.
 struct Twin {
-    agent: Boxed,
+    agent: BoxedAgent,
     twin: woadstall_emulator::engine::Engine<Ticket, ()>,
-    compared: Arc<Mutex<usize>>,
+    compared_commands: Arc<Mutex<usize>>,
 }
 
 impl BalancerAgent for Twin {
@@ -253,43 +270,30 @@
         let copy = match &input {
             Input::EndpointsListed {
                 entries,
-                is_complete: all,
+                is_complete,
             } => Input::EndpointsListed {
                 entries,
-                is_complete: *all,
+                is_complete: *is_complete,
             },
-            Input::Call(call) => {
-                let (id, class, tenant, work) = (call.id, call.class, call.tenant, call.work);
-                let (request, deadline, attempts) =
-                    (call.request, call.deadline, call.max_attempts);
-                let call = woadstall_emulator::engine::Call {
-                    id,
-                    request,
-                    class,
-                    tenant,
-                    work,
-                    deadline,
-                    max_attempts: attempts,
-                };
-                Input::Call(call)
-            }
+            Input::Call(call) => Input::Call(woadstall_emulator::engine::Call {
+                id: call.id,
+                request: call.request,
+                class: call.class,
+                tenant: call.tenant,
+                work: call.work,
+                deadline: call.deadline,
+                max_attempts: call.max_attempts,
+            }),
             Input::CallerDisconnected(id) => Input::CallerDisconnected(*id),
-            Input::AttemptEnded {
-                id,
-                attempt,
-                end: ended,
-            } => {
-                let ended = AttemptEnd {
-                    outcome: ended.outcome,
-                    response: ended.response,
-                    load: ended.load,
-                };
-                Input::AttemptEnded {
-                    id: *id,
-                    attempt: *attempt,
-                    end: ended,
-                }
-            }
+            Input::AttemptEnded { id, attempt, end } => Input::AttemptEnded {
+                id: *id,
+                attempt: *attempt,
+                end: AttemptEnd {
+                    outcome: end.outcome,
+                    response: end.response,
+                    load: end.load,
+                },
+            },
             Input::Tick => Input::Tick,
             other => unreachable!("the emulator sends no such input: {other:?}"),
         };
@@ -300,7 +304,7 @@
     fn next_command(&mut self) -> Option<Command<Ticket, ()>> {
         let command = self.agent.next_command();
         assert_eq!(command, self.twin.next_command());
-        *self.compared.lock().unwrap() += usize::from(command.is_some());
+        *self.compared_commands.lock().unwrap() += usize::from(command.is_some());
         command
     }
 
@@ -320,19 +324,19 @@
 fn a_replayed_run_gives_identical_commands() {
     use woadstall_emulator::engine::Engine;
     let scenario = small(ROLL);
-    let compared = Arc::new(Mutex::new(0));
-    let wrap = |_: Boxed| -> Boxed {
+    let compared_commands = Arc::new(Mutex::new(0));
+    let wrap = |_: BoxedAgent| -> BoxedAgent {
         let engine = || Engine::new(scenario.settings(0, 0), 5, 0).unwrap();
         Box::new(Twin {
             agent: Box::new(engine()),
             twin: engine(),
-            compared: compared.clone(),
+            compared_commands: compared_commands.clone(),
         })
     };
     let mut simulation = Simulation::new(&scenario, Policy::Woadstall, 3);
     simulation.wrap_agents(&wrap);
     assert_eq!(simulation.run().breach_count(), 0);
-    assert!(*compared.lock().unwrap() > 3_000);
+    assert!(*compared_commands.lock().unwrap() > 3_000);
 }
 
 /// The same seed gives the same result and the same agent inputs, also in parallel threads; another seed gives
@@ -341,8 +345,8 @@
 fn the_same_seed_gives_the_same_result() {
     let scenario = small(ROLL);
     let run = |seed| {
-        let recording = Recorded::default();
-        let wrap = |agent: Boxed| -> Boxed {
+        let recording = Recording::default();
+        let wrap = |agent: BoxedAgent| -> BoxedAgent {
             Box::new(Recorder {
                 agent,
                 recording: recording.clone(),
@@ -354,16 +358,16 @@
         let recording = std::mem::take(&mut *recording.lock().unwrap());
         (format!("{end:?}"), recording)
     };
-    let alone = run(1);
-    let threads = std::thread::scope(|scope| {
+    let expected = run(1);
+    let results = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..4).map(|_| scope.spawn(|| run(1))).collect();
         threads
             .into_iter()
             .map(|thread| thread.join().unwrap())
             .collect::<Vec<_>>()
     });
-    assert!(threads.iter().all(|other| *other == alone));
-    assert_ne!(run(2).0, alone.0);
+    assert!(results.iter().all(|other| *other == expected));
+    assert_ne!(run(2).0, expected.0);
 }
 
 /// Additional upstreams and balancers do not change the arrival times of the calls.
@@ -376,9 +380,9 @@
             .map(|step| step.counts.offered)
             .collect::<Vec<_>>()
     };
-    let fewer = small("");
-    let mut more = fewer.clone();
-    more.tier[0].upstreams += 1;
-    more.tier[0].balancers += 2;
-    assert_eq!(offered(&fewer), offered(&more));
+    let scenario = small("");
+    let mut larger = scenario.clone();
+    larger.tier[0].upstreams += 1;
+    larger.tier[0].balancers += 2;
+    assert_eq!(offered(&scenario), offered(&larger));
 }
--- a/crates/emulator/tests/evacuation.rs
+++ b/crates/emulator/tests/evacuation.rs
@@ -67,8 +67,8 @@
 /// With evacuation, a fleet loses far fewer calls to an unresponsive zone than without.
 #[test]
 fn evacuation_reduces_failed_calls() {
-    let with = run_scenario("zone-silent", 1);
-    let alone = run(
+    let with_evacuation = run_scenario("zone-silent", 1);
+    let without = run(
         &Scenario {
             evacuation: None,
             bound: Vec::new(),
@@ -77,9 +77,12 @@
         Policy::Woadstall,
         1,
     );
-    let (with, alone) = (with.counts.failed, alone.counts.failed);
-    println!("failed: {with} with it, {alone} without");
-    assert!(with * 10 <= alone * 7, "{with} of {alone}");
+    let (with_evacuation, without) = (with_evacuation.counts.failed, without.counts.failed);
+    println!("failed calls: {with_evacuation} with evacuation, {without} without");
+    assert!(
+        with_evacuation * 10 <= without * 7,
+        "{with_evacuation} of {without}"
+    );
 }
 
 /// Number of seeds that are run twice, unless `WOADSTALL_SEEDS` is set.
@@ -88,14 +91,14 @@
 /// The same scenario and seed give the same result to the byte.
 #[test]
 fn the_same_seed_repeats_the_result() {
-    let seeds = std::env::var("WOADSTALL_SEEDS").ok();
-    let seeds = seeds.and_then(|seeds| seeds.parse().ok());
+    let seed_count = std::env::var("WOADSTALL_SEEDS").ok();
+    let seed_count = seed_count.and_then(|count| count.parse().ok());
     let scenario = Scenario {
         duration: Span(25_000_000_000),
         ..read("all-slow")
     };
     let result = |seed| serde_json::to_string(&run(&scenario, Policy::Woadstall, seed)).unwrap();
-    let differing: Vec<u64> = (1..=seeds.unwrap_or(REPEATED_SEEDS))
+    let differing: Vec<u64> = (1..=seed_count.unwrap_or(REPEATED_SEEDS))
         .filter(|seed| result(*seed) != result(*seed))
         .collect();
     assert!(
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -9,8 +9,8 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-/// Three tiers; sidecars send to the second and the third.
-fn tiers(more: &str) -> Scenario {
+/// Three tiers; sidecar balancers send to the second and the third one.
+fn tiers(additions: &str) -> Scenario {
     let calls = "workers = 24\ncalls = { tier = \"posting\", mean = 1.0 }\n";
     let first = common::SMALL.replace("workers = 2\n", calls);
     let text = format!(
@@ -27,7 +27,7 @@
 beside = true
 nodos = 12
 workers = 4
-{more}"#
+{additions}"#
     );
     Scenario::read(&text).unwrap()
 }
@@ -38,10 +38,10 @@
     end
 }
 
-fn cost_total(end: &RunResult, tier: &str, price: Cost) -> u64 {
+fn cost_total(end: &RunResult, tier: &str, cost: Cost) -> u64 {
     end.costs
         .iter()
-        .find(|row| row.tier == tier && row.cost == price)
+        .find(|row| row.tier == tier && row.cost == cost)
         .map_or(0, |row| row.total)
 }
 
@@ -69,7 +69,8 @@
         .iter()
         .find(|row| row.tier == "ledger" && row.cost == Cost::Handshakes)
         .unwrap();
-    assert!(row.total >= 9 * 6 && row.largest_sender.1 < 0.25, "{row:?}");
+    let (_, largest_fraction) = row.largest_sender;
+    assert!(row.total >= 9 * 6 && largest_fraction < 0.25, "{row:?}");
 }
 
 /// A sidecar dies and starts with its upstream. Its open requests need no answer, and the new process starts
@@ -77,8 +78,8 @@
 #[test]
 fn a_sidecar_balancer_dies_and_starts_with_its_upstream() {
     let fault = "[[fault]]\nat = \"2 s\"\nuntil = \"4 s\"\npart = 0.5\nwhat = { kill = {} }\n";
-    let all = fault.to_owned() + &fault.replace("part = 0.5", "part = 0.34\ntier = \"posting\"");
-    let end = play(&tiers(&all));
+    let faults = fault.to_owned() + &fault.replace("part = 0.5", "part = 0.34\ntier = \"posting\"");
+    let end = play(&tiers(&faults));
     assert!(
         end.served_value_fraction > 0.9 && end.counts.failed > 0,
         "{} {:?}",
@@ -86,26 +87,24 @@
         end.counts
     );
     // The new process has no connections and opens all of them again.
-    let (calm, killed) = (
-        play(&tiers("")),
-        cost_total(&end, "ledger", Cost::Handshakes),
-    );
+    let without_faults = play(&tiers(""));
+    let handshakes = cost_total(&end, "ledger", Cost::Handshakes);
     assert!(
-        killed >= cost_total(&calm, "ledger", Cost::Handshakes) + 10,
-        "{killed}"
+        handshakes >= cost_total(&without_faults, "ledger", Cost::Handshakes) + 10,
+        "{handshakes}"
     );
-    let after =
+    let is_after_return =
         |step: &&woadstall_emulator::TimelineStep| step.end_seconds > 6.5 && step.end_seconds < 8.0;
     let (served, offered) = end
         .timeline
         .iter()
-        .filter(after)
+        .filter(is_after_return)
         .fold((0, 0), |(served, offered), step| {
             (served + step.counts.on_time, offered + step.counts.offered)
         });
     assert!(
         served * 100 > offered * 90,
-        "{served} of {offered} once all are back"
+        "{served} of {offered} served once all upstreams are back"
     );
 }
 
@@ -113,7 +112,7 @@
 /// with a longer detection delay.
 #[test]
 fn a_front_with_delayed_detection_sends_to_dead_processes() {
-    let with = |detection_delay: u64| {
+    let unreached_and_failed = |detection_delay: u64| {
         let fault =
             "[[fault]]\nat = \"2 s\"\nuntil = \"6 s\"\npart = 0.67\nwhat = { restart = {} }\n";
         let mut scenario = small(fault);
@@ -124,12 +123,13 @@
         let end = play(&scenario);
         (cost_total(&end, "only", Cost::Unreached), end.counts.failed)
     };
-    let (soon, late) = (with(SECOND / 10), with(3 * SECOND));
+    let (early_unreached, early_failed) = unreached_and_failed(SECOND / 10);
+    let (late_unreached, late_failed) = unreached_and_failed(3 * SECOND);
     assert!(
-        soon.0 < 60 && late.0 > 3 * soon.0.max(20),
-        "{soon:?} {late:?}"
+        early_unreached < 60 && late_unreached > 3 * early_unreached.max(20),
+        "{early_unreached} {late_unreached}"
     );
-    assert!(late.1 > soon.1, "{soon:?} {late:?}");
+    assert!(late_failed > early_failed, "{early_failed} {late_failed}");
 }
 
 /// Callers open as many connections as they need concurrently and keep them; weights make some balancers busier
@@ -142,14 +142,22 @@
         ..FrontConfig::default()
     });
     let end = play(&scenario);
-    let lines = cost_total(&end, "only", Cost::CallerConnections);
+    let connections = cost_total(&end, "only", Cost::CallerConnections);
     assert!(
-        lines > 3 && lines * 20 < end.counts.offered,
-        "{lines} of {}",
+        connections > 3 && connections * 20 < end.counts.offered,
+        "{connections} of {}",
         end.counts.offered
     );
 }
 
+/// Results of a run that depend on the configuration of connections.
+#[derive(Debug)]
+struct ConnectionFigures {
+    refused_connections: u64,
+    mean_latency_ms: f64,
+    served_value_fraction: f64,
+}
+
 /// Upstreams with a connection limit refuse further connections, and the work on new connections takes time.
 #[test]
 fn connections_are_limited_and_costly_as_configured() {
@@ -157,37 +165,41 @@
         let mut scenario = small("");
         scenario.tier[0].connections = connections;
         let end = play(&scenario);
-        let crowded = cost_total(&end, "only", Cost::ConnectionsRefused);
-        (
-            crowded,
-            cost_total(&end, "only", Cost::Handshakes),
-            end.latency.mean,
-            end.served_value_fraction,
-        )
+        ConnectionFigures {
+            refused_connections: cost_total(&end, "only", Cost::ConnectionsRefused),
+            mean_latency_ms: end.latency.mean,
+            served_value_fraction: end.served_value_fraction,
+        }
     };
-    let free = with(Connections::default());
-    let scarce = with(Connections {
+    let unlimited = with(Connections::default());
+    let limited = with(Connections {
         max_open: 2,
         ..Connections::default()
     });
-    let dear = with(Connections {
+    let costly = with(Connections {
         handshake_work: Span(SECOND / 10),
         handshake_round_trips: 3,
         ..Connections::default()
     });
-    assert!(free.0 == 0 && scarce.0 > 10, "{free:?} {scarce:?}");
     assert!(
-        scarce.3 > 0.8,
-        "one in use at each nodo is enough for most: {scarce:?}"
+        unlimited.refused_connections == 0 && limited.refused_connections > 10,
+        "{unlimited:?} {limited:?}"
+    );
+    assert!(
+        limited.served_value_fraction > 0.8,
+        "one connection in use at each upstream is enough for most calls: {limited:?}"
+    );
+    assert!(
+        costly.mean_latency_ms > 1.1 * unlimited.mean_latency_ms,
+        "{unlimited:?} {costly:?}"
     );
-    assert!(dear.2 > 1.1 * free.2, "{free:?} {dear:?}");
 }
 
 /// Many balancers that start together on a discovery with five reads per second: some reads fail, and all
 /// balancers succeed in the end.
 #[test]
 fn all_balancers_read_the_list_from_an_overloaded_discovery() {
-    let queries = r#"
+    let additions = r#"
 [padron]
 asked = { reads = 5.0, patience = "1 s", within = "10 s" }
 
@@ -202,31 +214,31 @@
 part = 0.5
 what = "replace"
 "#;
-    let mut scenario = small(queries);
+    let mut scenario = small(additions);
     (
         scenario.duration,
         scenario.tier[0].balancers,
         scenario.tier[0].upstreams,
     ) = (Span(25 * SECOND), 24, 12);
     let end = play(&scenario);
-    let (reads_per_second, failed) = (
+    let (reads, failed) = (
         cost_total(&end, "only", Cost::Reads),
         cost_total(&end, "only", Cost::FailedReads),
     );
     assert!(
-        reads_per_second - failed >= 48 && failed > 0,
-        "{reads_per_second} reads, {failed} failed"
+        reads - failed >= 48 && failed > 0,
+        "{reads} reads, {failed} failed"
     );
-    let late = end
+    let last_steps = end
         .timeline
         .iter()
         .filter(|step| step.end_seconds > 20.0 && step.end_seconds < 25.0);
-    let (served, offered) = late.fold((0, 0), |(served, offered), step| {
+    let (served, offered) = last_steps.fold((0, 0), |(served, offered), step| {
         (served + step.counts.on_time, offered + step.counts.offered)
     });
     assert!(
         served * 100 > offered * 97,
-        "{served} of {offered} once all know the new nodos"
+        "{served} of {offered} served once all balancers know the new upstreams"
     );
 }
 
@@ -241,8 +253,11 @@
     let end = play(&scenario);
     assert_eq!(cost_total(&end, "only", Cost::Unreached), 0);
     assert_eq!(end.counts.failed, 0, "{:?}", end.counts);
-    let killed = small(&fault.replace("\"roll-balancers\"", "{ restart = {} }"));
-    assert!(play(&killed).counts.failed > 50, "the same without a drain");
+    let without_drain = small(&fault.replace("\"roll-balancers\"", "{ restart = {} }"));
+    assert!(
+        play(&without_drain).counts.failed > 50,
+        "a restart without a drain loses calls"
+    );
 }
 
 /// If upstreams report their load to probes, balancers probe before they send. Partitioned and dead upstreams
@@ -281,7 +296,7 @@
 /// Large bodies take their transfer time.
 #[test]
 fn large_bodies_take_transfer_time() {
-    let with = |bytes: f64| {
+    let mean_latency = |bytes: f64| {
         let mut scenario = small("");
         scenario.network.bytes_per_second = 1e6;
         scenario
@@ -290,7 +305,7 @@
             .for_each(|class| class.bytes = bytes);
         play(&scenario).latency.mean
     };
-    let (small, large) = (with(100.0), with(20_000.0));
+    let (small, large) = (mean_latency(100.0), mean_latency(20_000.0));
     assert!(
         (15.0..30.0).contains(&(large - small)),
         "{small} ms, {large} ms"
@@ -315,6 +330,6 @@
     assert!(error("[front]\nuneven = 0.5\n").contains("front.uneven"));
     let queries = "[padron]\nasked = { reads = 0.0, patience = \"1 s\", within = \"1 s\" }\n";
     assert!(error(queries).contains("padron.asked.reads"));
-    let roll = "[[fault]]\nat = \"1 s\"\nwhat = \"roll-balancers\"\n";
-    assert!(error(roll).contains("`until` is missing"));
+    let endless_roll = "[[fault]]\nat = \"1 s\"\nwhat = \"roll-balancers\"\n";
+    assert!(error(endless_roll).contains("`until` is missing"));
 }
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -26,11 +26,11 @@
     let mut simulation = Simulation::new(scenario, policy.parse().unwrap(), seed);
     simulation.trace_call(TRACED_CALL);
     let json = serde_json::to_string(&simulation.run()).unwrap();
-    let seen = format!("{name} {:016x} {}", fnv1a(json.as_bytes()), json.len());
+    let digest = format!("{name} {:016x} {}", fnv1a(json.as_bytes()), json.len());
     let golden = DIGESTS
         .lines()
         .find(|line| line.split(' ').next() == Some(name));
-    assert_eq!(Some(seen.as_str()), golden);
+    assert_eq!(Some(digest.as_str()), golden);
 }
 
 /// A library scenario, truncated to some seconds.
--- a/crates/emulator/tests/golden_scenarios.rs
+++ b/crates/emulator/tests/golden_scenarios.rs
@@ -29,8 +29,8 @@
             true => format!("{SMALL}{to}"),
             false => SMALL.replace(&from, &to),
         };
-        let seen = Scenario::read(&text).unwrap_err().to_string();
-        assert_eq!(seen.replace('\n', "|"), golden, "{line}");
+        let refusal = Scenario::read(&text).unwrap_err().to_string();
+        assert_eq!(refusal.replace('\n', "|"), golden, "{line}");
     }
 }
 
--- a/crates/emulator/tests/power.rs
+++ b/crates/emulator/tests/power.rs
@@ -11,13 +11,17 @@
     end
 }
 
+/// Fraction of the value offered between two times in seconds that was served.
 fn served(end: &RunResult, from: f64, until: f64) -> f64 {
     let steps = end
         .timeline
         .iter()
         .filter(|step| step.end_seconds > from && step.end_seconds <= until);
-    let (value, offered) = steps.fold((0.0, 0.0), |(value, all), step| {
-        (value + step.counts.value, all + step.counts.value_offered)
+    let (value, offered) = steps.fold((0.0, 0.0), |(value, offered), step| {
+        (
+            value + step.counts.value,
+            offered + step.counts.value_offered,
+        )
     });
     value / offered
 }
@@ -26,9 +30,9 @@
 /// longer answer none.
 #[test]
 fn suspended_upstreams_respond_once_they_are_resumed() {
-    let stop =
+    let suspension =
         |until: &str| format!("[[fault]]\nat = \"3 s\"\nuntil = \"{until}\"\nwhat = \"stop\"\n");
-    let short = run_small(&stop("3500 ms"));
+    let short = run_small(&suspension("3500 ms"));
     // Of the hundred calls during the suspension, the ones before their deadline are answered afterwards.
     assert!(
         (1..90).contains(&(short.counts.failed + short.counts.refused)),
@@ -36,7 +40,7 @@
         short.counts
     );
     assert!(served(&short, 5.0, 8.0) > 0.9);
-    let long = run_small(&stop("6 s"));
+    let long = run_small(&suspension("6 s"));
     assert!(served(&long, 4.0, 6.0) < 0.05, "{:?}", long.timeline);
     assert!(long.counts.failed + long.counts.refused > short.counts.failed + short.counts.refused);
 }
@@ -44,9 +48,9 @@
 /// A power loss kills upstreams and balancers; both come back, the upstreams one after another.
 #[test]
 fn service_resumes_after_a_power_loss() {
-    let loss = "[[fault]]\nat = \"2 s\"\nuntil = \"3 s\"\n\
+    let power_loss = "[[fault]]\nat = \"2 s\"\nuntil = \"3 s\"\n\
                 what = { power-loss = { stale = \"1 s\", over = \"1 s\" } }\n";
-    let end = run_small(loss);
+    let end = run_small(power_loss);
     assert!(served(&end, 2.0, 3.0) < 0.05, "no process is running");
     assert!(served(&end, 5.0, 8.0) > 0.1, "{}", served(&end, 5.0, 8.0));
     assert_eq!(
@@ -92,12 +96,12 @@
         ]
     );
     assert!(!end.is_satisfied());
-    let refused = |text: &str| {
+    let error = |text: &str| {
         Scenario::read(&format!("{}{text}", common::SMALL))
             .unwrap_err()
             .to_string()
     };
     let late = "[[bound]]\nname = \"x\"\nwhat = { served = { from = \"9 s\", until = \"10 s\", least = 0.5 } }\n";
-    assert!(refused(late).contains("`until`"), "{}", refused(late));
-    assert!(refused("[[fault]]\nat = \"1 s\"\nwhat = \"stop\"\n").contains("until"));
+    assert!(error(late).contains("`until`"), "{}", error(late));
+    assert!(error("[[fault]]\nat = \"1 s\"\nwhat = \"stop\"\n").contains("until"));
 }
--- a/crates/emulator/tests/returning.rs
+++ b/crates/emulator/tests/returning.rs
@@ -80,14 +80,14 @@
 #[test]
 fn load_after_an_outage_returns_to_the_sustained_level() {
     let fault = "\n[[fault]]\nat = \"8 s\"\nuntil = \"14 s\"\nwhat = { kill = {} }\n";
-    let storm = "again = { at-once = { most = 4 } }\nheeds-advice = 0.3";
+    let immediate_retries = "again = { at-once = { most = 4 } }\nheeds-advice = 0.3";
     let end = play(&[
         ("time = \"16 s\"", "time = \"30 s\""),
         ("cold = true", ""),
         ("constant = 350.0", "constant = 700.0"),
         (
             "again = { backoff = { first = \"200 ms\", cap = \"1 s\", most = 3 } }\n",
-            &format!("{storm}\n{fault}"),
+            &format!("{immediate_retries}\n{fault}"),
         ),
     ]);
     no_upstream_is_overloaded(&end);
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -45,7 +45,7 @@
 }
 
 /// Mean waiting time over all calls in milliseconds: time in the system less the service time.
-fn wait(service: &str, workers: u32, load: f64, calls: f64) -> f64 {
+fn measured_wait(service: &str, workers: u32, load: f64, calls: f64) -> f64 {
     let scenario = queue(service, workers, load, calls);
     let end = run(&scenario, "random".parse().unwrap(), 11);
     assert_eq!(end.breach_count(), 0, "{:?}", end.first_breaches);
@@ -59,13 +59,15 @@
 fn erlang_c(workers: u32, load: f64) -> f64 {
     let offered = load * f64::from(workers);
     // The recursion for Erlang B avoids overflow of floating-point numbers.
-    let b = (1..=workers).fold(1.0, |b, n| offered * b / (f64::from(n) + offered * b));
-    b / (1.0 - load * (1.0 - b))
+    let erlang_b = (1..=workers).fold(1.0, |blocked, count| {
+        offered * blocked / (f64::from(count) + offered * blocked)
+    });
+    erlang_b / (1.0 - load * (1.0 - erlang_b))
 }
 
-/// Expected waiting time. M/M/1: load / (1 - load) times the service time; M/D/1: half of that (Pollaczek and
-/// Khinchine); M/M/c: Erlang C.
-fn expected(service: &str, workers: u32, load: f64) -> f64 {
+/// Expected mean waiting time in milliseconds. M/M/1: load / (1 - load) times the service time; M/D/1: half of that
+/// (Pollaczek and Khinchine); M/M/c: Erlang C.
+fn expected_wait(service: &str, workers: u32, load: f64) -> f64 {
     let wait = erlang_c(workers, load) / (f64::from(workers) * (1.0 - load)) * 10.0;
     if service == CONSTANT {
         wait / 2.0
@@ -78,14 +80,12 @@
     std::thread::scope(|scope| {
         for &(service, workers, load, calls) in cases {
             scope.spawn(move || {
-                let (is, should) = (
-                    wait(service, workers, load, calls),
-                    expected(service, workers, load),
-                );
-                let off = (is / should - 1.0).abs();
+                let measured = measured_wait(service, workers, load, calls);
+                let expected = expected_wait(service, workers, load);
+                let relative_error = (measured / expected - 1.0).abs();
                 assert!(
-                    off < 0.02,
-                    "{service}, {workers} workers, load {load}: {is:.3} ms, theory {should:.3}"
+                    relative_error < 0.02,
+                    "{service}, {workers} workers, load {load}: {measured:.3} ms, theory {expected:.3}"
                 );
             });
         }
@@ -116,12 +116,12 @@
     ]);
 }
 
-/// Servers with a queue each, at a load of 0.9. With the choice of the shorter of two random queues, the
-/// longest queue grows with the logarithm of the logarithm of the number of servers (Mitzenmacher); with one
-/// random queue, with the logarithm.
+/// Servers with a queue each, at a load of 0.9. If each call joins the shorter of two random queues, the longest queue
+/// grows with the logarithm of the logarithm of the number of servers (Mitzenmacher); if it joins a random queue, the
+/// longest queue grows with the logarithm.
 #[test]
 fn two_choices_keep_the_largest_queue_short() {
-    let largest = |policy: &str, upstreams: u32| {
+    let longest_queue = |policy: &str, upstreams: u32| {
         let mut scenario = queue(EXPONENTIAL, 1, 0.9, 1e4);
         scenario.tier[0].upstreams = upstreams;
         scenario.callers[0].load = woadstall_emulator::Load::Constant(90.0 * f64::from(upstreams));
@@ -131,9 +131,11 @@
         let policy: Policy = policy.parse().unwrap();
         f64::from(run(&scenario, policy, 3).longest_queue)
     };
-    let (one, two) = ("random", "two-choices");
-    let (few_one, many_one) = (largest(one, 100), largest(one, 4_000));
-    let (few_two, many_two) = (largest(two, 100), largest(two, 4_000));
+    let (few_one, many_one) = (longest_queue("random", 100), longest_queue("random", 4_000));
+    let (few_two, many_two) = (
+        longest_queue("two-choices", 100),
+        longest_queue("two-choices", 4_000),
+    );
     // Expected growth with one choice: (ln(4000) - ln(100)) / -ln(0.9) = 35. With two choices, ln ln differs by
     // 0.6, which over ln 2 is less than 1.
     assert!(many_one - few_one > 15.0, "{few_one} {many_one}");
