--- a/crates/emulator-cli/src/commands.rs
+++ b/crates/emulator-cli/src/commands.rs
@@ -69,7 +69,7 @@
 /// Runs all combinations of scenarios, overrides, policies and seeds that have no row in the output file yet.
 pub fn sweep(
     scenarios: &[PathBuf],
-    sets: &[Overrides],
+    override_sets: &[Overrides],
     policies: &[Policy],
     seeds: &str,
     options: &Options,
@@ -78,12 +78,17 @@
         .iter()
         .map(|path| ScenarioFile::read(path))
         .collect::<Result<Vec<_>, _>>()?;
-    let jobs = grid::jobs(&sources, sets, policies, &grid::parse_seeds(seeds)?)?;
+    let jobs = grid::jobs(
+        &sources,
+        override_sets,
+        policies,
+        &grid::parse_seeds(seeds)?,
+    )?;
     let stop = Arc::new(AtomicBool::new(false));
     let handler_stop = stop.clone();
     ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed))?;
     let outcome = sweep::sweep(&jobs, options, &stop)?;
-    let (rows, before) = (outcome.rows, outcome.before);
+    let (rows, before) = (outcome.rows, outcome.existing_rows);
     if rows < jobs.len() {
         warn!(
             rows,
@@ -92,8 +97,8 @@
         );
         return Ok(INTERRUPTED);
     }
-    info!(rows, before, broken = outcome.broken, file = %options.out.display(), "done");
-    Ok(u8::from(outcome.broken > 0))
+    info!(rows, before, broken = outcome.breaches, file = %options.output_path.display(), "done");
+    Ok(u8::from(outcome.breaches > 0))
 }
 
 /// Compares the rows of one policy in one file with those of one policy in another file, and prints the differences.
@@ -116,19 +121,21 @@
 /// Returns whether the right side is worse in any scenario with 95% confidence.
 pub fn is_any_worse(differences: &[Difference], figure: Figure) -> bool {
     let is_higher_better = matches!(figure, Figure::Score | Figure::Served);
-    let is_worse = |row: &Difference| row.is_sure() && (row.difference < 0.0) == is_higher_better;
+    let is_worse = |difference: &Difference| {
+        difference.is_significant() && (difference.difference < 0.0) == is_higher_better
+    };
     differences.iter().any(is_worse)
 }
 
 /// Returns the rows of `policy`. Without a policy, all rows must have the same policy, and all rows are returned.
 fn rows_of_policy(rows: &[Row], policy: Option<Policy>) -> Result<Vec<&Row>, CommandError> {
     let policy = policy.map(|policy| policy.to_string());
-    let is_chosen = |row: &&Row| {
+    let has_policy = |row: &&Row| {
         policy
             .as_ref()
             .is_none_or(|policy| *policy == row.key.policy)
     };
-    let chosen: Vec<&Row> = rows.iter().filter(is_chosen).collect();
+    let chosen: Vec<&Row> = rows.iter().filter(has_policy).collect();
     let first = chosen.first().ok_or(CommandError::NoRows)?;
     match chosen.iter().find(|row| row.key.policy != first.key.policy) {
         Some(other) => Err(CommandError::SeveralPolicies {
@@ -140,14 +147,18 @@
 }
 
 /// Writes the HTML report of the results, and each plot as an SVG file into the folder `svg` if one is given.
-pub fn report(results: &[PathBuf], out: &Path, svg: Option<&Path>) -> Result<u8, CommandError> {
+pub fn report(
+    results: &[PathBuf],
+    output_path: &Path,
+    svg: Option<&Path>,
+) -> Result<u8, CommandError> {
     let rows = results
         .iter()
         .map(|path| rows::read(path))
         .collect::<Result<Vec<_>, _>>()?
         .concat();
     let page = report::page(&rows, &[])?;
-    report::write(out, &page)?;
+    report::write(output_path, &page)?;
     if let Some(folder) = svg {
         std::fs::create_dir_all(folder).map_err(|source| CommandError::CreateFolder {
             path: folder.display().to_string(),
@@ -175,8 +186,8 @@
     if result.call_trace.is_empty() {
         return Err(CommandError::NoCall { call });
     }
-    for (at, text) in &result.call_trace {
-        println!("{:>12.6} s  {text}", *at as f64 / NANOS_PER_SECOND);
+    for (time, text) in &result.call_trace {
+        println!("{:>12.6} s  {text}", *time as f64 / NANOS_PER_SECOND);
     }
     Ok(0)
 }
--- a/crates/emulator-cli/src/compare.rs
+++ b/crates/emulator-cli/src/compare.rs
@@ -68,8 +68,9 @@
 
 impl Difference {
     /// Returns whether the 95% confidence interval excludes zero.
-    pub fn is_sure(&self) -> bool {
-        self.interval.0 > 0.0 || self.interval.1 < 0.0
+    pub fn is_significant(&self) -> bool {
+        let (low, high) = self.interval;
+        low > 0.0 || high < 0.0
     }
 }
 
--- a/crates/emulator-cli/src/grid.rs
+++ b/crates/emulator-cli/src/grid.rs
@@ -75,13 +75,13 @@
 /// Returns the error of [`ScenarioFile::with`] for the first invalid combination of scenario and overrides.
 pub fn jobs(
     sources: &[ScenarioFile],
-    sets: &[Overrides],
+    override_sets: &[Overrides],
     policies: &[Policy],
     seeds: &[u64],
 ) -> Result<Vec<Job>, ScenarioFileError> {
     let mut jobs = Vec::new();
     for source in sources {
-        for set in sets {
+        for set in override_sets {
             let (scenario, digest) = source.with(set)?;
             for &policy in policies {
                 jobs.extend(seeds.iter().map(|&seed| Job {
--- a/crates/emulator-cli/src/grid/tests.rs
+++ b/crates/emulator-cli/src/grid/tests.rs
@@ -8,8 +8,8 @@
         ("a".to_owned(), "1,2".to_owned()),
         ("b".to_owned(), "x, y".to_owned()),
     ];
-    let all = combinations(&Overrides::new(), &varied);
-    let text: Vec<_> = all
+    let combined = combinations(&Overrides::new(), &varied);
+    let text: Vec<_> = combined
         .iter()
         .map(|set| format!("{}{}", set["a"], set["b"]))
         .collect();
--- a/crates/emulator-cli/src/main.rs
+++ b/crates/emulator-cli/src/main.rs
@@ -138,7 +138,7 @@
 }
 
 impl OverrideArguments {
-    fn set(&self) -> Overrides {
+    fn to_overrides(&self) -> Overrides {
         self.set.iter().cloned().collect()
     }
 }
@@ -167,7 +167,7 @@
             plot,
         } => commands::run(
             &scenario,
-            &overrides.set(),
+            &overrides.to_overrides(),
             policy,
             seed,
             commands::output(json),
@@ -183,13 +183,13 @@
             timeline,
             threads,
         } => {
-            let sets = grid::combinations(&overrides.set(), &vary);
+            let override_sets = grid::combinations(&overrides.to_overrides(), &vary);
             let options = sweep::Options {
-                out,
+                output_path: out,
                 timeline,
                 threads,
             };
-            commands::sweep(&scenarios, &sets, &policies, &seeds, &options)
+            commands::sweep(&scenarios, &override_sets, &policies, &seeds, &options)
         }
         Command::Compare {
             left,
@@ -213,7 +213,7 @@
             overrides,
             seed,
             policy,
-        } => commands::explain(&scenario, &overrides.set(), policy, seed, call),
+        } => commands::explain(&scenario, &overrides.to_overrides(), policy, seed, call),
         Command::Check { scenarios } => commands::check(&scenarios),
     }
 }
--- a/crates/emulator-cli/src/print.rs
+++ b/crates/emulator-cli/src/print.rs
@@ -85,21 +85,21 @@
         "{:<24} {:>6} {:>9} {:>9} {:>11}  95%",
         "scenario", "pairs", "left", "right", "difference"
     );
-    for row in differences {
-        let set: Vec<_> = row
+    for difference in differences {
+        let set: Vec<_> = difference
             .set
             .iter()
             .map(|(key, value)| format!("{key}={value}"))
             .collect();
-        let (low, high) = row.interval;
+        let (low, high) = difference.interval;
         println!(
             "{:<24} {:>6} {:>9.4} {:>9.4} {:>+11.4}  {low:+.4} to {high:+.4}{} {}",
-            row.scenario,
-            row.pairs,
-            row.left,
-            row.right,
-            row.difference,
-            if row.is_sure() {
+            difference.scenario,
+            difference.pairs,
+            difference.left,
+            difference.right,
+            difference.difference,
+            if difference.is_significant() {
                 ""
             } else {
                 "  (may be chance)"
--- a/crates/emulator-cli/src/report/charts.rs
+++ b/crates/emulator-cli/src/report/charts.rs
@@ -51,7 +51,7 @@
     series: &[Series],
 ) -> Result<(), DrawError> {
     let points = || series.iter().flat_map(|line| line.points.iter().copied());
-    let until = points().map(|(at, _)| at).fold(1.0, f64::max);
+    let end = points().map(|(time, _)| time).fold(1.0, f64::max);
     let top = points().map(|(_, value)| value).fold(1e-9, f64::max) * 1.08;
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 15))
@@ -59,15 +59,15 @@
         .margin_right(22)
         .x_label_area_size(26)
         .y_label_area_size(54)
-        .build_cartesian_2d(0.0..until, 0.0..top)?;
+        .build_cartesian_2d(0.0..end, 0.0..top)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .y_desc(unit)
         .light_line_style(WHITE)
         .draw()?;
-    for band in bands.iter().filter(|band| band.from < until) {
-        let corners = [(band.from, 0.0), (band.until.min(until), top)];
+    for band in bands.iter().filter(|band| band.from < end) {
+        let corners = [(band.from, 0.0), (band.until.min(end), top)];
         chart.draw_series([Rectangle::new(corners, RED.mix(0.07).filled())])?;
     }
     for (number, line) in series.iter().enumerate() {
@@ -137,7 +137,7 @@
     steps: &[TimelineStep],
     grid: &HeatGrid,
 ) -> Result<(), DrawError> {
-    let until = steps.last().map_or(1.0, |step| step.end_seconds);
+    let end = steps.last().map_or(1.0, |step| step.end_seconds);
     let darkest = steps
         .iter()
         .flat_map(|step| (0..grid.rows).map(move |row| grid.value(step, row)))
@@ -151,23 +151,26 @@
         .margin_right(22)
         .x_label_area_size(26)
         .y_label_area_size(54)
-        .build_cartesian_2d(0.0..until, 0.0..grid.rows as f64)?;
+        .build_cartesian_2d(0.0..end, 0.0..grid.rows as f64)?;
     chart
         .configure_mesh()
         .disable_mesh()
         .x_desc("seconds")
         .y_desc("nodos")
         .draw()?;
-    let mut from = 0.0;
+    let mut step_start = 0.0;
     for step in steps {
         let filled = (0..grid.rows).filter(|&row| grid.value(step, row) > 0.0);
         let cells = filled.map(|row| {
             let color = heat_color(grid.value(step, row) / darkest);
-            let corners = [(from, row as f64), (step.end_seconds, (row + 1) as f64)];
+            let corners = [
+                (step_start, row as f64),
+                (step.end_seconds, (row + 1) as f64),
+            ];
             Rectangle::new(corners, color.filled())
         });
         chart.draw_series(cells)?;
-        from = step.end_seconds;
+        step_start = step.end_seconds;
     }
     area.present()
 }
--- a/crates/emulator-cli/src/report/fault_band.rs
+++ b/crates/emulator-cli/src/report/fault_band.rs
@@ -5,7 +5,7 @@
 /// The time range of one fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultBand {
-    /// Begin of the fault, in seconds since the start of the run.
+    /// Start of the fault, in seconds since the start of the run.
     pub from: f64,
     /// End of the fault, in seconds since the start of the run.
     pub until: f64,
@@ -26,7 +26,7 @@
 }
 
 fn fault_name(fault: &Fault) -> String {
-    let place: Vec<&str> = [&fault.tier, &fault.zone]
+    let scope: Vec<&str> = [&fault.tier, &fault.zone]
         .into_iter()
         .flatten()
         .map(String::as_str)
@@ -36,7 +36,7 @@
     } else {
         String::new()
     };
-    let name = format!("{} {}{fraction}", fault_kind(fault), place.join(" "));
+    let name = format!("{} {}{fraction}", fault_kind(fault), scope.join(" "));
     name.trim().to_owned()
 }
 
--- a/crates/emulator-cli/src/report/tables.rs
+++ b/crates/emulator-cli/src/report/tables.rs
@@ -27,13 +27,13 @@
             |figure: &dyn Fn(&Row) -> f64| rows.iter().map(|row| figure(row)).sum::<f64>() / count;
         let scores: Vec<f64> = rows.iter().map(|row| row.end.score).collect();
         let (low, high) = interval(&scores);
-        let broken: u64 = rows.iter().map(|row| row.end.breach_count()).sum();
-        let class = if broken > 0 { " class=\"bad\"" } else { "" };
+        let breaches: u64 = rows.iter().map(|row| row.end.breach_count()).sum();
+        let class = if breaches > 0 { " class=\"bad\"" } else { "" };
         let _ = writeln!(
             html,
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{low:.3} to {high:.3}</td><td>{:.3}</td>\
              <td>{:.3}</td><td>{:.0}</td><td>{:.0}</td><td>{:.2}</td><td>{:.0}</td><td>{:.0}</td>\
-             <td{class}>{broken}</td></tr>",
+             <td{class}>{breaches}</td></tr>",
             escape(&policy),
             escape(&set),
             rows.len(),
@@ -72,21 +72,27 @@
         "<table><tr><th>policy</th><th>set</th><th>tier</th><th>price</th><th>total</th><th>a request</th>\
          <th>largest sender</th><th>worst second</th></tr>\n",
     );
-    for ((policy, set, tier, price), rows) in groups {
+    for ((policy, set, tier, cost), rows) in groups {
         let mean = |figure: &dyn Fn(&CostRow) -> f64| {
             rows.iter().map(|row| figure(row)).sum::<f64>() / rows.len() as f64
         };
         let _ = writeln!(
             html,
-            "<tr><td>{}</td><td>{}</td><td>{}</td><td>{price}</td><td>{:.0}</td><td>{:.4}</td><td>{:.1}%</td>\
+            "<tr><td>{}</td><td>{}</td><td>{}</td><td>{cost}</td><td>{:.0}</td><td>{:.4}</td><td>{:.1}%</td>\
              <td>{:.0}</td></tr>",
             escape(&policy),
             escape(&set),
             escape(&tier),
             mean(&|row| row.total as f64),
             mean(&|row| row.per_request),
-            mean(&|row| 100.0 * row.largest_sender.1),
-            mean(&|row| row.worst_second.1 as f64),
+            mean(&|row| {
+                let (_, fraction) = row.largest_sender;
+                100.0 * fraction
+            }),
+            mean(&|row| {
+                let (_, count) = row.worst_second;
+                count as f64
+            }),
         );
     }
     html + "</table>\n"
--- a/crates/emulator-cli/src/report/timeline.rs
+++ b/crates/emulator-cli/src/report/timeline.rs
@@ -114,7 +114,8 @@
         })?,
         chart("Latency, median", "ms", Absolute, &|step| step.p50_ms)?,
         chart("Open attempts", "attempts", Absolute, &|step| {
-            step.open_requests_and_attempts.1 as f64
+            let (_, attempts) = step.open_requests_and_attempts;
+            attempts as f64
         })?,
     ];
     Ok(charts.concat())
@@ -140,8 +141,14 @@
 
 /// Plots the number of running processes for each row that records it.
 fn processes(rows: &[&Row], bands: &[FaultBand]) -> Result<String, ReportError> {
-    let balancers = |step: &TimelineStep| step.running_processes.map_or(0.0, |up| up.0 as f64);
-    let upstreams = |step: &TimelineStep| step.running_processes.map_or(0.0, |up| up.1 as f64);
+    let balancers = |step: &TimelineStep| {
+        step.running_processes
+            .map_or(0.0, |(balancers, _)| balancers as f64)
+    };
+    let upstreams = |step: &TimelineStep| {
+        step.running_processes
+            .map_or(0.0, |(_, upstreams)| upstreams as f64)
+    };
     let mut html = String::new();
     for row in rows.iter().filter(|row| {
         row.end
--- a/crates/emulator-cli/src/sweep.rs
+++ b/crates/emulator-cli/src/sweep.rs
@@ -14,7 +14,7 @@
 /// Options of a sweep.
 pub struct Options {
     /// Path of the output file, which has one row as JSON on each line.
-    pub out: PathBuf,
+    pub output_path: PathBuf,
     /// Whether rows include their timelines, which take several hundred KB per run.
     pub timeline: bool,
     /// Number of threads; 0 means one thread per core.
@@ -27,9 +27,9 @@
     /// Number of rows in the file at the end of the sweep.
     pub rows: usize,
     /// Number of rows that were in the file before the sweep.
-    pub before: usize,
+    pub existing_rows: usize,
     /// Number of rule breaches in the rows that this sweep added.
-    pub broken: u64,
+    pub breaches: u64,
 }
 
 /// The reason why a sweep failed.
@@ -99,10 +99,10 @@
     options: &Options,
     stop: &AtomicBool,
 ) -> Result<SweepOutcome, SweepError> {
-    let out = options.out.as_path();
-    let before = count_rows(jobs, out)?;
-    let file = open_after(out, before).map_err(|source| SweepError::file(out, source))?;
-    let progress = progress_bar(jobs.len(), before);
+    let path = options.output_path.as_path();
+    let existing_rows = count_existing_rows(jobs, path)?;
+    let file = open_after(path, existing_rows).map_err(|source| SweepError::file(path, source))?;
+    let progress = progress_bar(jobs.len(), existing_rows);
     let pool = rayon::ThreadPoolBuilder::new()
         .num_threads(options.threads)
         .build()?;
@@ -113,7 +113,7 @@
             // First-in, first-out order keeps rows close to the order of the jobs, so that an interrupt loses the
             // fewest finished rows.
             pool.scope_fifo(|scope| {
-                for (number, job) in jobs.iter().enumerate().skip(before) {
+                for (number, job) in jobs.iter().enumerate().skip(existing_rows) {
                     let sender = sender.clone();
                     scope.spawn_fifo(move |_| {
                         if !stop.load(Ordering::Relaxed) {
@@ -126,19 +126,19 @@
             });
             drop(sender);
         });
-        write_in_order(receiver, file, out, before)
+        write_in_order(receiver, file, path, existing_rows)
     })?;
     progress.finish_and_clear();
     Ok(outcome)
 }
 
 /// Returns the number of rows in the file, after checking that they are the first rows of this sweep.
-fn count_rows(jobs: &[Job], out: &Path) -> Result<usize, SweepError> {
-    if !out.exists() {
+fn count_existing_rows(jobs: &[Job], path: &Path) -> Result<usize, SweepError> {
+    if !path.exists() {
         return Ok(0);
     }
-    let rows = rows::read(out)?;
-    let path = || out.display().to_string();
+    let rows = rows::read(path)?;
+    let path = || path.display().to_string();
     if rows.len() > jobs.len() {
         return Err(SweepError::TooManyRows {
             path: path(),
@@ -161,27 +161,27 @@
     Ok(rows.len())
 }
 
-/// Opens the file for appending after its first `rows` rows. The file is first rewritten without later text, since its
-/// last line may be incomplete.
-fn open_after(out: &Path, rows: usize) -> io::Result<File> {
-    let text = if rows > 0 {
-        std::fs::read_to_string(out)?
+/// Opens the file for appending after its first `row_count` rows. The file is first rewritten without later text, since
+/// its last line may be incomplete.
+fn open_after(path: &Path, row_count: usize) -> io::Result<File> {
+    let text = if row_count > 0 {
+        std::fs::read_to_string(path)?
     } else {
         String::new()
     };
-    let lines = text.lines().take(rows);
+    let lines = text.lines().take(row_count);
     let complete: String = lines.map(|line| format!("{line}\n")).collect();
-    let temporary = out.with_extension("part");
+    let temporary = path.with_extension("part");
     std::fs::write(&temporary, complete)?;
-    std::fs::rename(&temporary, out)?;
-    OpenOptions::new().append(true).open(out)
+    std::fs::rename(&temporary, path)?;
+    OpenOptions::new().append(true).open(path)
 }
 
-fn progress_bar(jobs: usize, before: usize) -> ProgressBar {
-    let progress = ProgressBar::new(jobs as u64);
+fn progress_bar(job_count: usize, existing_rows: usize) -> ProgressBar {
+    let progress = ProgressBar::new(job_count as u64);
     let style = ProgressStyle::with_template("{wide_bar} {pos}/{len} runs, {eta} left");
     progress.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    progress.set_position(before as u64);
+    progress.set_position(existing_rows as u64);
     progress.reset_eta();
     progress
 }
@@ -190,25 +190,25 @@
 fn write_in_order(
     receiver: mpsc::Receiver<(usize, Row)>,
     file: File,
-    out: &Path,
-    before: usize,
+    path: &Path,
+    existing_rows: usize,
 ) -> Result<SweepOutcome, SweepError> {
     let mut outcome = SweepOutcome {
-        rows: before,
-        before,
-        broken: 0,
+        rows: existing_rows,
+        existing_rows,
+        breaches: 0,
     };
     let mut file = BufWriter::new(file);
-    let mut early: BTreeMap<usize, Row> = BTreeMap::new();
+    let mut held_rows: BTreeMap<usize, Row> = BTreeMap::new();
     for (number, row) in receiver {
-        early.insert(number, row);
-        while let Some(row) = early.remove(&outcome.rows) {
+        held_rows.insert(number, row);
+        while let Some(row) = held_rows.remove(&outcome.rows) {
             outcome.rows += 1;
-            outcome.broken += row.end.breach_count();
+            outcome.breaches += row.end.breach_count();
             let line = row.line().map_err(RowError::Json)?;
             writeln!(file, "{line}")
                 .and_then(|()| file.flush())
-                .map_err(|source| SweepError::file(out, source))?;
+                .map_err(|source| SweepError::file(path, source))?;
         }
     }
     Ok(outcome)
--- a/crates/emulator-cli/tests/cli.rs
+++ b/crates/emulator-cli/tests/cli.rs
@@ -49,6 +49,7 @@
     (folder, path)
 }
 
+/// A sweep of 16 runs: two values of a key, two policies and four seeds. The path of the output file follows.
 const SWEEP: [&str; 9] = [
     "sweep",
     "tiny.toml",
@@ -145,7 +146,7 @@
         &["sweep", "tiny.toml", "--seeds", "9", "--out", "one.jsonl"],
     );
     assert_eq!(output.status.code(), Some(3));
-    let fewer = emulator(
+    let more_seeds = emulator(
         &folder,
         &[
             "sweep",
@@ -157,9 +158,9 @@
         ],
     );
     assert!(
-        text(&fewer.stderr).contains("line 1: a row of another sweep"),
+        text(&more_seeds.stderr).contains("line 1: a row of another sweep"),
         "{}",
-        text(&fewer.stderr)
+        text(&more_seeds.stderr)
     );
     assert!(
         std::fs::read_to_string(folder.join("one.jsonl")).unwrap() == complete,
@@ -172,7 +173,8 @@
     let (_guard, folder) = folder();
     let output = emulator(&folder, &[&SWEEP[..], &["rows.jsonl"]].concat());
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
-    let compare = |more: &[&str]| emulator(&folder, &[&["compare", "rows.jsonl"], more].concat());
+    let compare =
+        |options: &[&str]| emulator(&folder, &[&["compare", "rows.jsonl"], options].concat());
     let output = compare(&[]);
     assert_eq!(output.status.code(), Some(3));
     assert!(text(&output.stderr).contains("name one"));
@@ -196,14 +198,14 @@
             .code(),
         Some(1)
     );
-    let equal = [
+    let same_policy = [
         "--left-policy",
         "random",
         "--right-policy",
         "random",
         "--fail-worse",
     ];
-    assert_eq!(compare(&equal).status.code(), Some(0));
+    assert_eq!(compare(&same_policy).status.code(), Some(0));
     let output = emulator(&folder, &["report", "rows.jsonl", "--out", "rows.html"]);
     assert_eq!(output.status.code(), Some(0));
     assert!(
@@ -216,7 +218,7 @@
 #[test]
 fn errors_name_their_cause_and_set_the_exit_code() {
     let (_guard, folder) = folder();
-    let fails = |arguments: &[&str], code: i32, message: &str| {
+    let assert_fails = |arguments: &[&str], code: i32, message: &str| {
         let output = emulator(&folder, arguments);
         assert_eq!(output.status.code(), Some(code), "{arguments:?}");
         assert!(
@@ -225,27 +227,27 @@
             text(&output.stderr)
         );
     };
-    fails(&["run", "none.toml"], 3, "none.toml");
-    fails(
+    assert_fails(&["run", "none.toml"], 3, "none.toml");
+    assert_fails(
         &["run", "tiny.toml", "--set", "tier.7.nodos=1"],
         3,
         "1 entries",
     );
-    fails(&["run", "tiny.toml", "--set", "nonsense=1"], 3, "nonsense");
-    fails(&["run", "tiny.toml", "--set", "nonsense"], 2, "KEY=VALUE");
-    fails(
+    assert_fails(&["run", "tiny.toml", "--set", "nonsense=1"], 3, "nonsense");
+    assert_fails(&["run", "tiny.toml", "--set", "nonsense"], 2, "KEY=VALUE");
+    assert_fails(
         &["run", "tiny.toml", "--policy", "best"],
         2,
         "there is no policy",
     );
-    fails(
+    assert_fails(
         &["sweep", "tiny.toml", "--seeds", "x", "--out", "x.jsonl"],
         3,
         "no seed",
     );
-    fails(&["explain", "tiny.toml", "99999999"], 3, "no call");
+    assert_fails(&["explain", "tiny.toml", "99999999"], 3, "no call");
     std::fs::write(folder.join("bad.jsonl"), "{}\n{}\n").unwrap();
-    fails(&["report", "bad.jsonl", "--out", "x.html"], 3, "line 1");
+    assert_fails(&["report", "bad.jsonl", "--out", "x.html"], 3, "line 1");
     let output = emulator(&folder, &["--log", "json", "run", "none.toml"]);
     assert!(serde_json::from_slice::<serde_json::Value>(&output.stderr).is_ok());
     let output = emulator(&folder, &["explain", "tiny.toml", "5"]);
