--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Duration of the longest pause of balancers in the scenario.
     pub(super) fn longest_pause(&self) -> Time {
         let pause = |fault: &Fault| match fault.kind {
             FaultKind::PauseBalancers => {
@@ -294,6 +295,7 @@
         self.forget_request(request);
     }
 
+    /// Ends an attempt that the balancer's agent has cancelled.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let request = self.request_by_id(id);
         let pending_attempt = self.requests.get(request).and_then(|request| {
--- a/crates/emulator/src/world/build.rs
+++ b/crates/emulator/src/world/build.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Schedules the start and the end of each fault.
     fn plan_faults(&mut self) {
         for (fault, planned) in (0..).zip(&self.scenario.fault) {
             let position = planned.file_position.unwrap_or(fault);
@@ -106,6 +107,7 @@
         }
     }
 
+    /// Adds a balancer with random clock offset and drift, and returns its number.
     fn add_balancer(&mut self, tier: usize, zone: u8) -> u32 {
         let (scenario, number) = (self.scenario, self.balancers.len() as u32);
         let mut seed_rng = stream(self.seed, Actor::Balancer, number);
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -40,6 +40,7 @@
         }
     }
 
+    /// Creates a call of a group of callers, and sends it to a balancer.
     pub(super) fn start_call(&mut self, group: usize, closed_loop: bool) {
         let now = self.event_queue.now();
         let mix = &self.class_mix_by_group[group];
--- a/crates/emulator/src/world/entities.rs
+++ b/crates/emulator/src/world/entities.rs
@@ -21,7 +21,9 @@
     pub(super) send_count: u32,
     /// Requests of this call that are still open.
     pub(super) open_requests: u32,
+    /// The caller has its final result.
     pub(super) concluded: bool,
+    /// The call arrived after the warm-up.
     pub(super) measured: bool,
     /// Connection that the caller sent the request on.
     pub(super) connection: Option<CallerConnection>,
@@ -77,6 +79,7 @@
     pub(super) idle_since: Time,
 }
 
+/// A balancer, across all incarnations of its process.
 pub(super) struct Balancer {
     pub(super) tier: usize,
     pub(super) zone: u8,
@@ -111,7 +114,7 @@
 /// An update of the upstream list on its way to a balancer.
 pub(super) struct ListUpdate {
     pub(super) arrives_at: Time,
-    /// Number of list changes that the balancer has received with this update.
+    /// Number of list changes that the balancer has received after this update.
     pub(super) change_count: u32,
 }
 
--- a/crates/emulator/src/world/members.rs
+++ b/crates/emulator/src/world/members.rs
@@ -58,6 +58,7 @@
     )
 }
 
+/// Number of the balancer with a simulated address; the inverse of [`member_address`].
 fn member_number(address: SocketAddr) -> Option<u32> {
     match address.ip() {
         IpAddr::V4(ip) => u32::from(ip).checked_sub(0x0a00_0000),
@@ -284,6 +285,7 @@
             .for_each(|&balancer| members.observer.set_paused(now, balancer as usize, paused));
     }
 
+    /// Handles the timer of a balancer's node, or postpones it to the end of a pause.
     pub(super) fn member_timer(&mut self, balancer: usize, planned: Time) {
         let resume_at = self.paused_until(balancer);
         let Some(members) = &mut self.members else {
@@ -458,6 +460,8 @@
         }
     }
 
+    /// Sends a membership message over the network, which may delay, lose, duplicate or reorder it. A reliable message is
+    /// only delayed, unless the path is partitioned.
     fn send_member_message(&mut self, from: usize, to: usize, bytes: Vec<u8>, reliable: bool) {
         let now = self.event_queue.now();
         let link = Self::link_between(
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -254,6 +254,7 @@
         }
     }
 
+    /// Adds an entry to the trace if the call is the traced one.
     fn record_trace(&mut self, client_call: u64, text: impl FnOnce() -> String) {
         if let Some((call, trace)) = &mut self.call_trace
             && *call == client_call
@@ -328,6 +329,7 @@
 
     // ---- Measurements ----
 
+    /// Ends a step of the timeline, and schedules the end of the next one.
     fn end_step(&mut self) {
         let now = self.event_queue.now();
         self.auditor.check_overdue(now, self.pause_grace(now));
--- a/crates/emulator/src/world/upstreams.rs
+++ b/crates/emulator/src/world/upstreams.rs
@@ -84,6 +84,7 @@
         }
     }
 
+    /// Draws the time that an upstream works on an attempt, and schedules the end of the work.
     pub(super) fn begin_work(&mut self, upstream: usize, attempt: u64, class: usize) {
         let now = self.event_queue.now();
         let mut work_time =
@@ -128,6 +129,8 @@
         );
     }
 
+    /// Handles the end of an upstream's own work on an attempt: the upstream calls the next tier, or responds if it makes
+    /// no calls.
     pub(super) fn work_finished(&mut self, number: u64, upstream: usize, process: u32) {
         if self.upstreams[upstream].process != process || !self.upstreams[upstream].alive {
             return; // the process died in the meantime, and its work was lost
@@ -215,6 +218,7 @@
         self.start_next_attempt(upstream);
     }
 
+    /// Starts work on the next queued attempt that its balancer still waits for.
     pub(super) fn start_next_attempt(&mut self, upstream: usize) {
         let (attempts, mut dropped) = (&self.attempts, SmallVec::<[u64; 4]>::new());
         let next = self.upstreams[upstream].next_request(|request| {
@@ -315,6 +319,7 @@
         }
     }
 
+    /// Starts a new process of an upstream, unless one is running or another upstream has replaced it at its host.
     pub(super) fn boot_upstream(&mut self, upstream: usize) {
         let host = self.upstreams[upstream].host as usize;
         if self.upstreams[upstream].alive || self.upstream_by_host[host] as usize != upstream {
@@ -335,6 +340,7 @@
 
     // ---- Probes ----
 
+    /// Sends a health probe, whose result is its answer or its timeout.
     pub(super) fn probe(&mut self, balancer: usize, peer: &Peer) {
         let (now, tier) = (self.event_queue.now(), self.balancers[balancer].tier);
         self.costs.count(now, tier, Cost::Probes, balancer);
@@ -371,6 +377,8 @@
         }
     }
 
+    /// Answers a probe with the upstream's number of requests, unless the probed process has died, is unresponsive, or
+    /// cannot reach the balancer.
     pub(super) fn probe_arrived(&mut self, probe: u64) {
         let Some(pending) = self.probes.get(probe) else {
             return;
