--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -146,10 +146,10 @@
             audited.open_attempts,
         );
         let late = now.saturating_sub(audited.deadline);
-        let may_run_again = audited.effect == CallEffect::Safe;
+        let must_not_repeat = audited.effect != CallEffect::Safe;
         if let CallResult::Rejected(_) = result {
             audited.refused = true;
-            if !may_run_again && effect_count > 0 {
+            if must_not_repeat && effect_count > 0 {
                 self.record_breach(
                     Rule::NoEffectTwice,
                     now,
