--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -328,7 +328,7 @@
         if self.false_death_details.len() < MAX_DETAILS {
             let seconds = now as f64 / SECOND as f64;
             self.false_death_details.push(format!(
-                "{seconds:.3} s: {viewer} record_view {member} for dead, which is there"
+                "{seconds:.3} s: member {viewer} reports member {member} as dead although it is running"
             ));
         }
     }
