--- a/crates/node/src/core/api_server.rs
+++ b/crates/node/src/core/api_server.rs
@@ -57,21 +57,21 @@
 /// Fails if an address can't be bound.
 pub(super) async fn start(
     settings: &NodeSettings,
-    control: SocketAddr,
+    control_address: SocketAddr,
     queues: RequestQueues,
 ) -> Result<(), CoreError> {
-    let directory = settings
+    let directory_address = settings
         .listen_address(Endpoint::Directory)
-        .filter(|address| *address != control);
+        .filter(|address| *address != control_address);
     let server = Arc::new(ApiServer {
         queues,
         max_connections: (settings.max_fds as f64 * CLIENT_DESCRIPTOR_RATIO) as usize,
         connections: AtomicUsize::new(0),
     });
-    for address in std::iter::once(control).chain(directory) {
+    for address in std::iter::once(control_address).chain(directory_address) {
         let listener = TcpListener::bind(address)
             .await
-            .map_err(SetupError::during(format!("address {address}")))?;
+            .map_err(SetupError::during(format!("bind the address {address}")))?;
         tokio::spawn(accept(server.clone(), listener));
     }
     Ok(())
@@ -216,7 +216,7 @@
 
 /// Reads a request body; `None` if it exceeds [`request::MAX_BODY_BYTES`].
 async fn read_body(mut body: Incoming) -> Result<Option<Bytes>, hyper::Error> {
-    let mut read = Vec::new();
+    let mut collected = Vec::new();
     let mut size = 0;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
@@ -224,12 +224,12 @@
         };
         size += data.len();
         if size <= request::MAX_BODY_BYTES {
-            read.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         } else if size > MAX_DISCARDED_BYTES {
             break;
         } else {
-            read = Vec::new();
+            collected = Vec::new();
         }
     }
-    Ok((size <= request::MAX_BODY_BYTES).then(|| read.into()))
+    Ok((size <= request::MAX_BODY_BYTES).then(|| collected.into()))
 }
--- a/crates/node/src/core/coordination/bootstrap.rs
+++ b/crates/node/src/core/coordination/bootstrap.rs
@@ -9,8 +9,8 @@
 
 /// Returns the state of a machine whose storage is empty. The seeds form the initial group at the
 /// first start of the whole system. Any other machine gets a new identity and joins the group.
-pub(super) fn initial_state(settings: &NodeSettings, control: SocketAddr) -> DurableState {
-    if !is_initial_member(settings, control) {
+pub(super) fn initial_state(settings: &NodeSettings, control_address: SocketAddr) -> DurableState {
+    if !is_initial_member(settings, control_address) {
         let id = fastrand::u64(1..);
         return DurableState::new(id, Snapshot::default());
     }
@@ -22,5 +22,8 @@
         })
     };
     let members: Vec<Member> = settings.seeds.iter().filter_map(initial_member).collect();
-    DurableState::new(initial_member_id(control), initial_snapshot(&members))
+    DurableState::new(
+        initial_member_id(control_address),
+        initial_snapshot(&members),
+    )
 }
--- a/crates/node/src/core/coordination/mod.rs
+++ b/crates/node/src/core/coordination/mod.rs
@@ -4,7 +4,6 @@
 mod bootstrap;
 mod disk;
 mod event;
-
 mod listener;
 mod process;
 
@@ -16,7 +15,6 @@
 use crate::time::millis;
 use bootstrap::initial_state;
 use disk::Disk;
-
 use process::Process;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -75,14 +73,14 @@
 /// Fails if the storage can't be opened or if the port can't be bound.
 pub(super) async fn start(
     settings: &NodeSettings,
-    control: SocketAddr,
+    control_address: SocketAddr,
     data_dir: &Path,
 ) -> Result<Option<CoordinationHandle>, CoreError> {
     let Some(address) = settings.coordination_address() else {
         log::warn!("coordination_disabled reason=\"ephemeral_ports holds one port\"");
         return Ok(None);
     };
-    let (storage, durable) = open_storage(data_dir, settings, control)?;
+    let (storage, durable) = open_storage(data_dir, settings, control_address)?;
     log::info!(
         "coordination_started id={:x} address={address} last_index={}",
         durable.id,
@@ -110,13 +108,13 @@
 fn open_storage(
     data_dir: &Path,
     settings: &NodeSettings,
-    control: SocketAddr,
+    control_address: SocketAddr,
 ) -> Result<(Storage, DurableState), CoreError> {
     let mut storage = Storage::open_sized(&data_dir.join(STORAGE_FOLDER), SEGMENT_BYTES)?;
     let durable = match storage.state() {
         Some(state) => state.clone(),
         None => {
-            let state = initial_state(settings, control);
+            let state = initial_state(settings, control_address);
             storage.initialize(state.clone())?;
             state
         }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -58,40 +58,40 @@
 
 async fn serve(settings: &NodeSettings, watcher: SettingsWatcher) -> Result<(), CoreError> {
     let signals = Signals::install()?;
-    let control = settings
+    let control_address = settings
         .listen_address(Endpoint::Control)
         .ok_or(CoreError::MissingSetting("listen.control"))?;
     let data_dir = settings
         .data_dir
         .as_ref()
         .ok_or(CoreError::MissingSetting("data_dir"))?;
-    let (storage, durable) = open_storage(data_dir, settings, control)?;
-    let internal = settings.internal_address();
+    let (storage, durable) = open_storage(data_dir, settings, control_address)?;
+    let internal_address = settings.internal_address();
     log::info!(
-        "core_started id={:x} address={internal} last_index={}",
+        "core_started id={:x} address={internal_address} last_index={}",
         durable.id,
         durable.log.last_index()
     );
     let member = Member {
         id: durable.id,
-        address: internal.to_string(),
+        address: internal_address.to_string(),
     };
-    let machine_settings = machine_settings(settings, member, control);
+    let machine_settings = machine_settings(settings, member, control_address);
     let (events, event_queue) = mpsc::unbounded_channel();
-    let tcp = TcpListener::bind(internal)
+    let listener = TcpListener::bind(internal_address)
         .await
         .map_err(SetupError::during("bind the internal TCP address"))?;
-    let udp = UdpSocket::bind(internal)
+    let datagram_socket = UdpSocket::bind(internal_address)
         .await
         .map_err(SetupError::during("bind the internal UDP address"))?;
-    tokio::spawn(listener::run(tcp, events.clone()));
-    tokio::spawn(datagrams::run(udp, events.clone()));
-    let coordination = coordination::start(settings, control, data_dir).await?;
+    tokio::spawn(listener::run(listener, events.clone()));
+    tokio::spawn(datagrams::run(datagram_socket, events.clone()));
+    let coordination = coordination::start(settings, control_address, data_dir).await?;
     let queues = RequestQueues {
         control: events.clone(),
         coordination: coordination.clone(),
     };
-    api_server::start(settings, control, queues).await?;
+    api_server::start(settings, control_address, queues).await?;
     let (store, registrations) = RegistrationStore::open(data_dir, unix_time());
     let mut machine = ControlMachine::new(machine_settings, durable, 0, fastrand::u64(..));
     log::info!("registrations_loaded count={}", registrations.len());
@@ -105,13 +105,13 @@
 fn open_storage(
     data_dir: &Path,
     settings: &NodeSettings,
-    control: SocketAddr,
+    control_address: SocketAddr,
 ) -> Result<(Storage, DurableState), CoreError> {
     let mut storage = Storage::open(data_dir)?;
     let durable = match storage.state() {
         Some(state) => state.clone(),
         None => {
-            let state = bootstrap::initial_state(settings, control);
+            let state = bootstrap::initial_state(settings, control_address);
             storage.initialize(state.clone())?;
             state
         }
@@ -122,13 +122,13 @@
 fn machine_settings(
     settings: &NodeSettings,
     member: Member,
-    control: SocketAddr,
+    control_address: SocketAddr,
 ) -> MachineSettings {
     let machine = MachineInfo {
         member,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        control_address: control.to_string(),
+        control_address: control_address.to_string(),
     };
     MachineSettings {
         machine,
--- a/crates/node/src/core/process.rs
+++ b/crates/node/src/core/process.rs
@@ -49,13 +49,13 @@
     saved_at: Instant,
     stalls: StallDetector,
     watcher: SettingsWatcher,
-    settings_checked: Instant,
+    settings_checked_at: Instant,
     /// Frame queues of the subscribed balancers, by connection number.
     subscribers: BTreeMap<u64, FrameSender>,
     pending_requests: PendingRequests,
     /// Handle of the coordination service; `None` if the service is disabled.
     coordination: Option<CoordinationHandle>,
-    known_addresses_sent: Instant,
+    known_addresses_sent_at: Instant,
 }
 
 impl Process {
@@ -77,11 +77,11 @@
             saved_at: now,
             stalls: StallDetector::new(now),
             watcher,
-            settings_checked: now,
+            settings_checked_at: now,
             subscribers: BTreeMap::new(),
             pending_requests: PendingRequests::default(),
             coordination,
-            known_addresses_sent: now,
+            known_addresses_sent_at: now,
         }
     }
 
@@ -123,10 +123,10 @@
             }
             self.execute_actions();
             self.save_registrations_if_due();
-            if self.known_addresses_sent.elapsed() >= KNOWN_ADDRESSES_INTERVAL {
+            if self.known_addresses_sent_at.elapsed() >= KNOWN_ADDRESSES_INTERVAL {
                 self.send_known_addresses();
             }
-            if self.settings_checked.elapsed() >= SETTINGS_CHECK_INTERVAL {
+            if self.settings_checked_at.elapsed() >= SETTINGS_CHECK_INTERVAL {
                 let settings = self.watcher.reload_if_modified();
                 self.apply_settings(settings);
             }
@@ -241,7 +241,7 @@
 
     /// Applies reloaded settings. Only the seeds can change while the process runs.
     fn apply_settings(&mut self, settings: Option<NodeSettings>) {
-        self.settings_checked = Instant::now();
+        self.settings_checked_at = Instant::now();
         if let Some(settings) = settings {
             self.machine
                 .set_seeds(addresses(&settings.internal_seeds()));
@@ -252,7 +252,7 @@
 
     /// Passes the addresses of the known control machines to the coordination service.
     fn send_known_addresses(&mut self) {
-        self.known_addresses_sent = Instant::now();
+        self.known_addresses_sent_at = Instant::now();
         let Some(port) = self.coordination.as_ref().map(CoordinationHandle::port) else {
             return;
         };
@@ -261,8 +261,8 @@
             let internal: SocketAddr = machine.member.address.parse().ok()?;
             Some(SocketAddr::new(internal.ip(), port).to_string())
         };
-        let known = machines.iter().filter_map(address).collect();
-        self.notify_coordination(coordination::Event::KnownAddresses(known));
+        let addresses = machines.iter().filter_map(address).collect();
+        self.notify_coordination(coordination::Event::KnownAddresses(addresses));
     }
 
     fn notify_coordination(&self, event: coordination::Event) {
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -20,7 +20,7 @@
 ) -> Result<(), SetupError> {
     let server = Server::new(address, handler)
         .map_err(|source| io::Error::other(source.to_string()))
-        .map_err(SetupError::during(format!("address {address}")))?;
+        .map_err(SetupError::during(format!("bind the address {address}")))?;
     let server = match workers {
         Some(workers) => server.pool_size(workers),
         None => server,
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -196,8 +196,8 @@
 
     /// Returns the address on which the machine with this control address listens for the internal
     /// protocol. All machines use the same ports.
-    pub fn internal_address_of(&self, control: SocketAddr) -> SocketAddr {
-        SocketAddr::new(control.ip(), self.internal_ports.first)
+    pub fn internal_address_of(&self, control_address: SocketAddr) -> SocketAddr {
+        SocketAddr::new(control_address.ip(), self.internal_ports.first)
     }
 
     /// Returns the addresses of the seeds in the internal protocol.
