--- a/crates/node/src/core/api/coordination.rs
+++ b/crates/node/src/core/api/coordination.rs
@@ -42,9 +42,9 @@
 ) -> Option<Result<CoordinationRequest, RequestError>> {
     let method = request.method.as_str();
     if let Some(lock) = path.strip_prefix(LOCKS_PATH) {
-        Some(parse_lock(request, method, lock).map(command))
+        Some(parse_lock(request, method, lock).map(command_request))
     } else if let Some(sequence) = path.strip_prefix(SEQUENCES_PATH) {
-        Some(parse_sequence(method, sequence).map(command))
+        Some(parse_sequence(method, sequence).map(command_request))
     } else if let Some(key) = path.strip_prefix(KEYS_PATH) {
         Some(parse_key(request, method, key))
     } else {
@@ -53,7 +53,7 @@
     }
 }
 
-fn command(command: Command) -> CoordinationRequest {
+fn command_request(command: Command) -> CoordinationRequest {
     CoordinationRequest::Call(Call::Command(command))
 }
 
@@ -109,7 +109,7 @@
             let query = reject_findings(Query::Get { key }, findings)?;
             Ok(CoordinationRequest::Call(Call::Query(query)))
         }
-        "PUT" => parse_put(request, key, findings).map(command),
+        "PUT" => parse_put(request, key, findings).map(command_request),
         _ => Err(RequestError::UnknownMethod),
     }
 }
@@ -221,8 +221,8 @@
 pub(super) fn render(response: machine::Response) -> HttpResponse {
     match response {
         machine::Response::Executed(outcome) => render_outcome(outcome),
-        machine::Response::Events(found) => {
-            HttpResponse::json(200, render_events(&found).to_string())
+        machine::Response::Events(events) => {
+            HttpResponse::json(200, render_events(&events).to_string())
         }
         machine::Response::HistoryCompacted => {
             HttpResponse::text(410, "the history begins later\n")
@@ -261,9 +261,9 @@
     HttpResponse::json(status, body.to_string())
 }
 
-fn render_events(found: &GroupEvents) -> Value {
-    let events: Vec<Value> = found.events.iter().map(render_event).collect();
-    json!({ "events": events, "revision": found.revision })
+fn render_events(group_events: &GroupEvents) -> Value {
+    let events: Vec<Value> = group_events.events.iter().map(render_event).collect();
+    json!({ "events": events, "revision": group_events.revision })
 }
 
 fn render_event(event: &Event) -> Value {
--- a/crates/node/src/core/api/response.rs
+++ b/crates/node/src/core/api/response.rs
@@ -28,7 +28,7 @@
 /// Renders a response as HTTP.
 pub(in crate::core) fn render(response: ApiResponse) -> HttpResponse {
     match response {
-        ApiResponse::Machine(answer) => render_machine_response(answer),
+        ApiResponse::Machine(response) => render_machine_response(response),
         ApiResponse::Registered { heartbeat_url } => {
             HttpResponse::json(200, json!({ "heartbeat_url": heartbeat_url }).to_string())
         }
@@ -44,8 +44,8 @@
     }
 }
 
-fn render_machine_response(answer: CallResponse) -> HttpResponse {
-    match answer {
+fn render_machine_response(response: CallResponse) -> HttpResponse {
+    match response {
         CallResponse::Acknowledged => HttpResponse::json(200, "{}".to_owned()),
         CallResponse::Conflict { current } => HttpResponse::json(
             412,
--- a/crates/node/src/core/listener.rs
+++ b/crates/node/src/core/listener.rs
@@ -24,8 +24,8 @@
 
 /// Accepts connections of core machines and subscribers until the process ends.
 pub(super) async fn run(listener: TcpListener, events: EventSender) {
-    accept_connections(listener, |number, stream| {
-        serve_connection(number, stream, events.clone())
+    accept_connections(listener, |connection_number, stream| {
+        serve_connection(connection_number, stream, events.clone())
     })
     .await;
 }
@@ -68,17 +68,19 @@
 
 /// Serves the connection of a core machine or of a subscribing balancer.
 async fn serve_connection(
-    number: u64,
+    connection_number: u64,
     mut stream: TcpStream,
     events: EventSender,
 ) -> io::Result<()> {
-    let first = read_first_packet(&mut stream).await?;
-    match first {
+    let first_packet = read_first_packet(&mut stream).await?;
+    match first_packet {
         Packet::Hello { ref machine, .. } => {
             let peer = machine.member.address.clone();
-            receive_packets(peer, first, &mut stream, &events).await
+            receive_packets(peer, first_packet, &mut stream, &events).await
+        }
+        Packet::Subscribe(request) => {
+            serve_subscriber(connection_number, request, &mut stream, &events).await
         }
-        Packet::Subscribe(request) => serve_subscriber(number, request, &mut stream, &events).await,
         _ => Err(io::Error::new(
             ErrorKind::InvalidData,
             "first packet is neither Hello nor Subscribe",
@@ -88,11 +90,11 @@
 
 async fn receive_packets(
     peer: String,
-    first: Packet,
+    first_packet: Packet,
     stream: &mut TcpStream,
     events: &EventSender,
 ) -> io::Result<()> {
-    let mut packet = first;
+    let mut packet = first_packet;
     loop {
         let from = peer.clone();
         if events.send(Event::Packet { from, packet }).is_err() {
@@ -103,19 +105,19 @@
 }
 
 async fn serve_subscriber(
-    number: u64,
+    connection_number: u64,
     request: SubscribeRequest,
     stream: &mut TcpStream,
     events: &EventSender,
 ) -> io::Result<()> {
     let (queue, mut frames) = frame_queue(MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES);
     let subscribe = Event::Subscribe {
-        subscriber: number,
+        subscriber: connection_number,
         request,
         queue,
     };
     events.send(subscribe).ok();
     let result = write_frames(stream, &mut frames).await;
-    events.send(Event::Unsubscribe(number)).ok();
+    events.send(Event::Unsubscribe(connection_number)).ok();
     result
 }
--- a/crates/node/src/core/pending_requests.rs
+++ b/crates/node/src/core/pending_requests.rs
@@ -54,15 +54,15 @@
     }
 
     /// Responds to the request with this token. Does nothing if no such request is pending.
-    pub fn complete(&mut self, token: u64, answer: CallResponse) {
+    pub fn complete(&mut self, token: u64, machine_response: CallResponse) {
         let Some(request) = self.by_token.remove(&token) else {
             return;
         };
-        let response = match (answer, request.heartbeat_url) {
+        let response = match (machine_response, request.heartbeat_url) {
             (CallResponse::Acknowledged, Some(heartbeat_url)) => {
                 ApiResponse::Registered { heartbeat_url }
             }
-            (answer, _) => ApiResponse::Machine(answer),
+            (machine_response, _) => ApiResponse::Machine(machine_response),
         };
         respond(request.responder, response);
     }
