--- a/crates/node/src/front/attempt/mod.rs
+++ b/crates/node/src/front/attempt/mod.rs
@@ -107,7 +107,7 @@
     } else {
         lock(&front.router).record_response(front.now(), &in_flight.target.id);
     }
-    // `remove_hop_by_hop_headers` removes the hop-by-hop headers, so `Keep-Alive` is read first.
+    // `Keep-Alive` is a hop-by-hop header, so it is read before these headers are removed.
     let keep_alive = keep_alive(&parts);
     remove_hop_by_hop_headers(&mut parts.headers);
     let response = StreamingResponse {
--- a/crates/node/src/front/client_connection.rs
+++ b/crates/node/src/front/client_connection.rs
@@ -94,7 +94,9 @@
         let mut is_closing = false;
         while !is_closing {
             tokio::select! {
-                biased; // Reads a request that has arrived before the connection is closed as idle.
+                // The connection is polled first, so that a request that has already arrived is read
+                // before the connection is closed as idle.
+                biased;
                 result = connection.as_mut() => return ConnectionEnd::of(&result),
                 _ = closing.wait_for(|close| *close) => is_closing = true,
                 _ = checks.tick() => is_closing = self.has_timed_out(state),
--- a/crates/node/src/front/feeds.rs
+++ b/crates/node/src/front/feeds.rs
@@ -45,12 +45,12 @@
 }
 
 async fn follow_feed(front: Arc<Front>, feed: usize, sources: Arc<Mutex<FeedSources>>) {
-    let mut last: Option<(SocketAddr, FeedPosition)> = None;
+    let mut last_read: Option<(SocketAddr, FeedPosition)> = None;
     loop {
         let preference = machines_by_preference(&front, feed);
         let selected = lock(&sources).select(Instant::now(), feed, &preference);
         if let Some(address) = selected {
-            let mut position = match last {
+            let mut position = match last_read {
                 Some((last_address, position)) if last_address == address => position,
                 _ => FeedPosition::default(),
             };
@@ -58,7 +58,7 @@
                 log::debug!("feed_ended peer={address} error={error}");
             }
             lock(&sources).abandon(Instant::now(), feed);
-            last = Some((address, position));
+            last_read = Some((address, position));
         }
         sleep(RETRY_INTERVAL).await;
     }
@@ -69,17 +69,17 @@
 /// zones, so that little traffic crosses regions. The order of machines with equal rank differs
 /// between balancers.
 fn machines_by_preference(front: &Front, feed: usize) -> Vec<SocketAddr> {
-    let mut ordered: Vec<(u8, u64, SocketAddr)> = Vec::new();
+    let mut ranked: Vec<(u8, u64, SocketAddr)> = Vec::new();
     for machine in front.core_machines() {
         let Ok(address) = machine.member.address.parse::<SocketAddr>() else {
             continue;
         };
         let tie_breaker = hash(&(&front.settings.node, feed, &machine.member.address));
-        ordered.push((rank(front, feed, &machine), tie_breaker, address));
+        ranked.push((rank(front, feed, &machine), tie_breaker, address));
     }
-    ordered.sort_unstable();
+    ranked.sort_unstable();
     let mut addresses: Vec<SocketAddr> =
-        ordered.into_iter().map(|(_, _, address)| address).collect();
+        ranked.into_iter().map(|(_, _, address)| address).collect();
     for address in front.seeds() {
         if !addresses.contains(&address) {
             addresses.push(address);
@@ -116,7 +116,7 @@
         applied_index: front.applied_index(),
     });
     write_packet(&mut stream, &subscribe).await?;
-    let mut without_quorum = 0;
+    let mut statuses_without_quorum = 0;
     loop {
         let packet = timeout(READ_TIMEOUT, read_packet(&mut stream)).await??;
         match packet {
@@ -148,11 +148,15 @@
                 in_quorum,
                 machines,
             } => {
-                without_quorum = if in_quorum { 0 } else { without_quorum + 1 };
+                statuses_without_quorum = if in_quorum {
+                    0
+                } else {
+                    statuses_without_quorum + 1
+                };
                 if in_quorum || front.core_machines().is_empty() {
                     front.set_core_machines(machines);
                 }
-                if without_quorum > MAX_STATUSES_WITHOUT_QUORUM {
+                if statuses_without_quorum > MAX_STATUSES_WITHOUT_QUORUM {
                     return Ok(());
                 }
             }
--- a/crates/node/src/front/forward.rs
+++ b/crates/node/src/front/forward.rs
@@ -24,10 +24,11 @@
 use woadstall_routing::Prompt;
 use woadstall_transport::remove_hop_by_hop_headers;
 
-/// Retry time for clients of a front that has no configuration: about the duration of an election
-/// and a snapshot transfer.
+/// `Retry-After` time in responses of a front that has no configuration: about the duration of an
+/// election and a snapshot transfer.
 const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(1_200);
-/// Retry time for clients whose request body does not fit into the memory for bodies.
+/// `Retry-After` time in the response to a request whose body does not fit into the memory for
+/// bodies.
 const OVERLOAD_RETRY: Duration = Duration::from_millis(500);
 /// Request bodies may use the process's memory limit divided by this number.
 const BODY_MEMORY_DIVISOR: usize = 3;
--- a/crates/node/src/front/load_reports.rs
+++ b/crates/node/src/front/load_reports.rs
@@ -27,7 +27,7 @@
         return;
     };
     let first_sequence = startup_timestamp_ms();
-    let mut last = LoadReport {
+    let mut last_report = LoadReport {
         balancer: short_hash(&front.settings.node),
         zone: front.settings.zone.clone(),
         ..LoadReport::default()
@@ -39,17 +39,17 @@
         checks.tick().await;
         let report = LoadReport {
             sequence,
-            ..current_load(&front, &last)
+            ..current_load(&front, &last_report)
         };
         let is_empty = report.upstreams.is_empty() && report.placements.is_empty();
         let is_due = !is_empty && last_sent.elapsed() >= REPEAT_INTERVAL;
-        let has_changed =
-            report.upstreams != last.upstreams || report.placements != last.placements;
+        let has_changed = report.upstreams != last_report.upstreams
+            || report.placements != last_report.placements;
         if !has_changed && !is_due {
             continue;
         }
         let frame = Packet::LoadReport(report.clone()).encode();
-        last = report;
+        last_report = report;
         last_sent = Instant::now();
         for machine in region_machines(&front) {
             socket.send_to(&frame, machine).await.ok();
@@ -58,12 +58,12 @@
 }
 
 /// Builds a report of the current load with the sender and sequence number of the last report.
-fn current_load(front: &Front, last: &LoadReport) -> LoadReport {
+fn current_load(front: &Front, last_report: &LoadReport) -> LoadReport {
     let mut router = lock(&front.router);
     LoadReport {
-        balancer: last.balancer,
-        sequence: last.sequence,
-        zone: last.zone.clone(),
+        balancer: last_report.balancer,
+        sequence: last_report.sequence,
+        zone: last_report.zone.clone(),
         upstreams: router.upstream_loads(front.now()),
         placements: router.recent_placements(front.now()),
     }
--- a/crates/node/src/front/pool.rs
+++ b/crates/node/src/front/pool.rs
@@ -65,52 +65,53 @@
 
 /// Counts one connection against the limits of its upstream and of the pool until it is dropped.
 struct ConnectionPermit {
-    upstream_open: Arc<AtomicUsize>,
-    total_open: Arc<AtomicUsize>,
+    upstream_open_count: Arc<AtomicUsize>,
+    total_open_count: Arc<AtomicUsize>,
 }
 
 impl ConnectionPermit {
-    fn new(upstream_open: &Arc<AtomicUsize>, total_open: &Arc<AtomicUsize>) -> Self {
-        upstream_open.fetch_add(1, Ordering::Relaxed);
-        total_open.fetch_add(1, Ordering::Relaxed);
+    fn new(upstream_open_count: &Arc<AtomicUsize>, total_open_count: &Arc<AtomicUsize>) -> Self {
+        upstream_open_count.fetch_add(1, Ordering::Relaxed);
+        total_open_count.fetch_add(1, Ordering::Relaxed);
         Self {
-            upstream_open: upstream_open.clone(),
-            total_open: total_open.clone(),
+            upstream_open_count: upstream_open_count.clone(),
+            total_open_count: total_open_count.clone(),
         }
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.upstream_open.fetch_sub(1, Ordering::Relaxed);
-        self.total_open.fetch_sub(1, Ordering::Relaxed);
+        self.upstream_open_count.fetch_sub(1, Ordering::Relaxed);
+        self.total_open_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 struct IdleConnection {
     connection: PooledConnection,
-    expires: Instant,
+    expires_at: Instant,
 }
 
 impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        now < self.expires && self.connection.is_reusable()
+        now < self.expires_at && self.connection.is_reusable()
     }
 }
 
 /// Idle connections to one upstream and the number of its open connections.
 #[derive(Default)]
 struct UpstreamConnections {
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
     idle: Vec<IdleConnection>,
 }
 
 /// Connections to all upstreams of a front.
 pub(super) struct ConnectionPool {
     upstreams: Mutex<HashMap<UpstreamId, UpstreamConnections>>,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
     max_open: usize,
-    counts: Arc<ConnectionCounts>,
+    /// Counters of the transport over all connections of the pool.
+    transport_counts: Arc<ConnectionCounts>,
 }
 
 /// An idle connection, or the permission to open a new connection.
@@ -124,9 +125,9 @@
     pub fn new(max_fds: usize) -> Self {
         Self {
             upstreams: Mutex::default(),
-            open: Arc::default(),
+            open_count: Arc::default(),
             max_open: (max_fds as f64 * UPSTREAM_DESCRIPTOR_RATIO) as usize,
-            counts: Arc::default(),
+            transport_counts: Arc::default(),
         }
     }
 
@@ -148,7 +149,7 @@
         let connected = timeout(connect_timeout, TcpStream::connect(target.address)).await;
         let stream = connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
         enable_dead_peer_detection(&stream, USER_TIMEOUT);
-        let connection = Connection::from_tcp(stream, self.counts.clone()).await?;
+        let connection = Connection::from_tcp(stream, self.transport_counts.clone()).await?;
         Ok(PooledConnection {
             connection,
             is_reused: false,
@@ -164,12 +165,12 @@
                 return Ok(Acquired::Idle(idle.connection));
             }
         }
-        let is_full = upstream.open.load(Ordering::Relaxed) >= target.max_connections
-            || self.open.load(Ordering::Relaxed) >= self.max_open;
+        let is_full = upstream.open_count.load(Ordering::Relaxed) >= target.max_connections
+            || self.open_count.load(Ordering::Relaxed) >= self.max_open;
         if is_full {
             return Err(PoolError::Full);
         }
-        let permit = ConnectionPermit::new(&upstream.open, &self.open);
+        let permit = ConnectionPermit::new(&upstream.open_count, &self.open_count);
         Ok(Acquired::Permit(permit))
     }
 
@@ -191,7 +192,7 @@
         if let Some(upstream) = upstreams.get_mut(id) {
             upstream.idle.push(IdleConnection {
                 connection,
-                expires: Instant::now() + idle_timeout,
+                expires_at: Instant::now() + idle_timeout,
             });
         }
     }
@@ -203,7 +204,7 @@
         for upstream in upstreams.values_mut() {
             upstream.idle.retain(|idle| idle.is_usable(now));
         }
-        upstreams.retain(|_, upstream| upstream.open.load(Ordering::Relaxed) > 0);
+        upstreams.retain(|_, upstream| upstream.open_count.load(Ordering::Relaxed) > 0);
     }
 }
 
--- a/crates/node/src/front/request_reports.rs
+++ b/crates/node/src/front/request_reports.rs
@@ -58,8 +58,9 @@
         service: &str,
         prompt: Prompt,
     ) -> Option<RequestTrace> {
-        let is_on = self.max_per_second > 0;
-        is_on.then(|| RequestTrace::new(self.clone(), route.clone(), service.to_owned(), prompt))
+        let is_enabled = self.max_per_second > 0;
+        is_enabled
+            .then(|| RequestTrace::new(self.clone(), route.clone(), service.to_owned(), prompt))
     }
 
     fn write(&self, report: &RequestReport) {
--- a/crates/node/src/front/retry.rs
+++ b/crates/node/src/front/retry.rs
@@ -25,11 +25,13 @@
     pub route: Arc<Route>,
     service: Arc<Service>,
     prompt: Prompt,
-    attempted: Vec<UpstreamId>,
+    attempted_upstreams: Vec<UpstreamId>,
     /// Number of attempts that were sent and not rejected.
-    sent: u32,
-    unsent: u32,
-    rejected: u32,
+    sent_count: u32,
+    /// Number of attempts that ended before the request was sent completely.
+    unsent_count: u32,
+    /// Number of attempts that an upstream rejected.
+    rejection_count: u32,
     /// Whether an upstream may have executed the request.
     may_have_executed: bool,
     /// Time until the client may retry if the request is rejected.
@@ -66,10 +68,10 @@
             route,
             service,
             prompt,
-            attempted: Vec::new(),
-            sent: 0,
-            unsent: 0,
-            rejected: 0,
+            attempted_upstreams: Vec::new(),
+            sent_count: 0,
+            unsent_count: 0,
+            rejection_count: 0,
             may_have_executed: false,
             retry_after,
             trace,
@@ -87,7 +89,7 @@
         }
         let now = front.now();
         let mut router = lock(&front.router);
-        let is_retry = self.sent + self.rejected > 0;
+        let is_retry = self.sent_count + self.rejection_count > 0;
         if is_retry && !router.try_withdraw_retry(now, &self.service.name) {
             return Err(RetryDenied::RetryBudget);
         }
@@ -95,7 +97,7 @@
             route: &self.route,
             service: &self.service,
             prompt: self.prompt,
-            tried: &self.attempted,
+            tried: &self.attempted_upstreams,
         };
         let candidates = self
             .trace
@@ -106,7 +108,7 @@
                 if let (Some(trace), Some(candidates)) = (&mut self.trace, candidates) {
                     trace.begin_attempt(&target, &candidates);
                 }
-                self.attempted.push(target.id.clone());
+                self.attempted_upstreams.push(target.id.clone());
                 Ok(target)
             }
             Decision::Reject(Rejection {
@@ -114,7 +116,7 @@
                 no_usable_upstream,
             }) => {
                 self.retry_after = retry_after;
-                if no_usable_upstream && self.attempted.is_empty() {
+                if no_usable_upstream && self.attempted_upstreams.is_empty() {
                     log::debug!("no_usable_upstream service={}", self.service.name);
                 }
                 Err(RetryDenied::NoUpstream)
@@ -123,21 +125,21 @@
     }
 
     fn is_limit_reached(&self) -> bool {
-        self.sent >= self.route.max_attempts.max(1)
-            || self.unsent >= MAX_UNSENT_ATTEMPTS
-            || self.rejected >= MAX_REJECTIONS
+        self.sent_count >= self.route.max_attempts.max(1)
+            || self.unsent_count >= MAX_UNSENT_ATTEMPTS
+            || self.rejection_count >= MAX_REJECTIONS
     }
 
     /// Counts an attempt that has ended or whose streamed response has begun.
     pub fn record(&mut self, result: &AttemptResult) {
         match result {
-            AttemptResult::NotSent => self.unsent += 1,
-            AttemptResult::Rejected => self.rejected += 1,
+            AttemptResult::NotSent => self.unsent_count += 1,
+            AttemptResult::Rejected => self.rejection_count += 1,
             AttemptResult::Failed
             | AttemptResult::TimedOut
             | AttemptResult::Complete(..)
             | AttemptResult::Streaming(_) => {
-                self.sent += 1;
+                self.sent_count += 1;
                 self.may_have_executed = true;
             }
         }
--- a/crates/node/src/front/state.rs
+++ b/crates/node/src/front/state.rs
@@ -154,19 +154,19 @@
     /// is counted until [`BALANCER_EXPIRY_MS`] has passed because it may still send requests.
     pub fn update_balancers(&self, zones: &[ZoneBalancers]) {
         let now = self.now();
-        let mut known = lock(&self.balancers);
+        let mut listed_balancers = lock(&self.balancers);
         for ZoneBalancers { zone, balancers } in zones {
             for balancer in balancers {
                 let listed = ListedBalancer {
                     listed_at: now,
                     zone: zone.clone(),
                 };
-                known.insert(*balancer, listed);
+                listed_balancers.insert(*balancer, listed);
             }
         }
-        known.retain(|_, balancer| now < balancer.listed_at + BALANCER_EXPIRY_MS);
+        listed_balancers.retain(|_, balancer| now < balancer.listed_at + BALANCER_EXPIRY_MS);
         let mut fleet = Fleet::new(short_hash(&self.settings.node));
-        for (name_hash, balancer) in known.iter() {
+        for (name_hash, balancer) in listed_balancers.iter() {
             let region = self.settings.zones.get(&balancer.zone);
             let region = region.cloned().unwrap_or_default();
             fleet.by_region.entry(region).or_default().push(*name_hash);
