--- a/crates/node/src/cli/why.rs
+++ b/crates/node/src/cli/why.rs
@@ -21,7 +21,7 @@
         source: ParseReportError,
     },
     /// The plot can't be rendered.
-    #[error("the plot: {0}")]
+    #[error("can't render the plot: {0}")]
     Plot(#[from] PlotError),
 }
 
