--- a/crates/control/src/machine/directory.rs
+++ b/crates/control/src/machine/directory.rs
@@ -138,7 +138,7 @@
         let stopping: Vec<&BalancerHeartbeat> = stopping.collect();
         let is_near = |heartbeat: &BalancerHeartbeat| {
             self.region_of(&heartbeat.zone)
-                .is_some_and(|own| own == region)
+                .is_some_and(|balancer_region| balancer_region == region)
         };
         addresses(&stopping, |heartbeat| {
             is_near(heartbeat) || may_serve(heartbeat)
@@ -157,10 +157,19 @@
                 .map(|route| &route.allowed_regions);
             regions.filter(|regions| !regions.is_empty())
         };
-        let any: BTreeSet<String> = restrictions().flatten().cloned().collect();
-        let is_common = |region: &&String| restrictions().all(|regions| regions.contains(region));
-        let common: BTreeSet<String> = any.iter().filter(is_common).cloned().collect();
-        if common.is_empty() { any } else { common }
+        let in_any_route: BTreeSet<String> = restrictions().flatten().cloned().collect();
+        let is_in_all_routes =
+            |region: &&String| restrictions().all(|regions| regions.contains(region));
+        let in_all_routes: BTreeSet<String> = in_any_route
+            .iter()
+            .filter(is_in_all_routes)
+            .cloned()
+            .collect();
+        if in_all_routes.is_empty() {
+            in_any_route
+        } else {
+            in_all_routes
+        }
     }
 
     fn region_of(&self, zone: &str) -> Option<&String> {
--- a/crates/control/src/machine/failure_detection.rs
+++ b/crates/control/src/machine/failure_detection.rs
@@ -27,11 +27,11 @@
             .into_iter()
             .map(|machine| machine.member.address)
             .collect();
-        let own = self.settings.machine.member.address.clone();
+        let own_address = self.settings.machine.member.address.clone();
         let owns = |service: &str| {
             let addresses = machines.iter().map(String::as_str);
             let group = replica_group(shard_of(service), addresses, MONITOR_COUNT);
-            group.first().is_some_and(|owner| *owner == own)
+            group.first().is_some_and(|owner| *owner == own_address)
         };
         for upstream in self.registry.time_out(self.now_ms, timeout_ms, owns) {
             self.log(LogEvent::UpstreamTimedOut {
--- a/crates/control/src/machine/feeds.rs
+++ b/crates/control/src/machine/feeds.rs
@@ -109,10 +109,10 @@
 
     /// Sends new subscribers their first packet (a snapshot or events), the status of this machine,
     /// and the active balancers.
-    fn start_feed(&mut self, subscribers: &[u64], first: Packet) {
+    fn start_feed(&mut self, subscribers: &[u64], first_packet: Packet) {
         let status = self.machine_status();
         let active = Packet::ActiveBalancers(self.active_balancers());
-        for packet in [first, status, active] {
+        for packet in [first_packet, status, active] {
             let subscribers = subscribers.to_vec();
             self.actions.push(Action::Deliver {
                 subscribers,
--- a/crates/control/src/machine/registrations.rs
+++ b/crates/control/src/machine/registrations.rs
@@ -120,10 +120,10 @@
         let Some(replication) = self.calls.replications.get(&number) else {
             return;
         };
-        let own = &self.settings.machine.member.address;
+        let own_address = &self.settings.machine.member.address;
         let is_persisted_here = self.persist_progress.completed >= replication.persist_request;
         let has_persisted = |member: &Member| {
-            if member.address == *own {
+            if member.address == *own_address {
                 is_persisted_here
             } else {
                 replication.acknowledged_by.contains(&member.address)
