--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -63,7 +63,7 @@
     assert_eq!(machine.state().generation(), 1);
 }
 
-fn receive(machine: &mut ControlMachine, now: u64, region: &str, ready: bool) {
+fn receive_heartbeat(machine: &mut ControlMachine, now: u64, region: &str, ready: bool) {
     machine.receive_heartbeat(
         now,
         BalancerHeartbeat {
@@ -104,10 +104,10 @@
 ) {
     let mut machine = machine();
     configure(&mut machine, allowed);
-    receive(&mut machine, 2_100, "north", true);
-    receive(&mut machine, 2_100, "south", true);
+    receive_heartbeat(&mut machine, 2_100, "north", true);
+    receive_heartbeat(&mut machine, 2_100, "south", true);
     // The only balancer in the region `east` is shutting down.
-    receive(&mut machine, 2_100, "east", false);
+    receive_heartbeat(&mut machine, 2_100, "east", false);
     assert_eq!(resolved(&machine, "restricted", region), expected);
 }
 
@@ -117,8 +117,8 @@
 fn an_unrestricted_client_without_a_balancer_in_its_region_gets_all(#[case] host: &str) {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    receive(&mut machine, 2_100, "north", true);
-    receive(&mut machine, 2_100, "south", true);
+    receive_heartbeat(&mut machine, 2_100, "north", true);
+    receive_heartbeat(&mut machine, 2_100, "south", true);
     assert_eq!(resolved(&machine, host, "east"), ["north", "south"]);
 }
 
@@ -126,7 +126,7 @@
 fn a_restricted_client_is_sent_to_any_balancer_when_no_other_is_left() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    receive(&mut machine, 2_100, "south", true);
+    receive_heartbeat(&mut machine, 2_100, "south", true);
     assert_eq!(resolved(&machine, "restricted", "east"), ["south"]);
 }
 
@@ -134,12 +134,12 @@
 fn a_client_is_sent_elsewhere_while_the_balancer_of_its_region_is_unavailable() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    receive(&mut machine, 2_100, "north", true);
-    receive(&mut machine, 2_100, "east", false);
+    receive_heartbeat(&mut machine, 2_100, "north", true);
+    receive_heartbeat(&mut machine, 2_100, "east", false);
     assert_eq!(resolved(&machine, "restricted", "east"), ["north"]);
-    receive(&mut machine, 2_200, "east", true);
+    receive_heartbeat(&mut machine, 2_200, "east", true);
     assert_eq!(resolved(&machine, "restricted", "east"), ["east"]);
-    receive(&mut machine, 3_250, "north", true);
+    receive_heartbeat(&mut machine, 3_250, "north", true);
     machine.tick(3_350);
     assert_eq!(
         resolved(&machine, "restricted", "east"),
@@ -151,8 +151,8 @@
 #[test]
 fn without_a_configuration_clients_are_sent_to_the_nearest_balancers() {
     let mut machine = machine();
-    receive(&mut machine, 2_100, "north", true);
-    receive(&mut machine, 2_100, "south", true);
+    receive_heartbeat(&mut machine, 2_100, "north", true);
+    receive_heartbeat(&mut machine, 2_100, "south", true);
     assert_eq!(resolved(&machine, "restricted", "south"), ["south"]);
     assert_eq!(resolved(&machine, "restricted", "east"), ["north", "south"]);
 }
@@ -162,14 +162,14 @@
     let mut machine = machine();
     configure(&mut machine, &["north"]);
     for region in ["north", "east", "south"] {
-        receive(&mut machine, 2_100, region, true);
+        receive_heartbeat(&mut machine, 2_100, region, true);
     }
     // The balancers of both regions shut down one after the other. The second shutdown begins while
     // the first balancer still accepts clients.
-    receive(&mut machine, 2_500, "north", false);
-    receive(&mut machine, 3_000, "east", false);
-    receive(&mut machine, 3_000, "south", true);
-    receive(&mut machine, 3_100, "north", false);
+    receive_heartbeat(&mut machine, 2_500, "north", false);
+    receive_heartbeat(&mut machine, 3_000, "east", false);
+    receive_heartbeat(&mut machine, 3_000, "south", true);
+    receive_heartbeat(&mut machine, 3_100, "north", false);
     assert_eq!(resolved(&machine, "restricted", "east"), ["east", "north"]);
     assert_eq!(
         resolved(&machine, "unrestricted", "east"),
@@ -177,9 +177,9 @@
         "an unrestricted client is sent to a ready balancer"
     );
     // The balancers that shut down have stopped accepting clients.
-    receive(&mut machine, 5_500, "north", false);
-    receive(&mut machine, 5_500, "east", false);
-    receive(&mut machine, 5_500, "south", true);
+    receive_heartbeat(&mut machine, 5_500, "north", false);
+    receive_heartbeat(&mut machine, 5_500, "east", false);
+    receive_heartbeat(&mut machine, 5_500, "south", true);
     assert_eq!(resolved(&machine, "restricted", "east"), ["south"]);
 }
 
@@ -187,7 +187,7 @@
 fn a_starting_balancer_is_not_treated_as_stopping() {
     let mut machine = machine();
     configure(&mut machine, &["north"]);
-    receive(&mut machine, 2_100, "south", true);
-    receive(&mut machine, 2_100, "north", false);
+    receive_heartbeat(&mut machine, 2_100, "south", true);
+    receive_heartbeat(&mut machine, 2_100, "north", false);
     assert_eq!(resolved(&machine, "restricted", "east"), ["south"]);
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -286,14 +286,17 @@
         decode_frame::<Registration>(&golden(FRAMES, "value_registration")).unwrap(),
         value
     );
-    let many = vec![registration(UpstreamStatus::Draining); 40];
+    let registrations = vec![registration(UpstreamStatus::Draining); 40];
     assert_golden(
         FRAMES,
         "value_registrations_compressed",
-        &encode_frame(&many),
+        &encode_frame(&registrations),
     );
     let fixture = golden(FRAMES, "value_registrations_compressed");
-    assert_eq!(decode_frame::<Vec<Registration>>(&fixture).unwrap(), many);
+    assert_eq!(
+        decode_frame::<Vec<Registration>>(&fixture).unwrap(),
+        registrations
+    );
 }
 
 #[test]
@@ -378,9 +381,13 @@
 fn an_empty_state_has_its_golden_snapshot() {
     let state = ControlState::default();
     assert_golden(STORED, "state_empty", &state.encode());
-    let read = ControlState::decode(&golden(STORED, "state_empty")).unwrap();
+    let decoded = ControlState::decode(&golden(STORED, "state_empty")).unwrap();
     assert_eq!(
-        (read.index, read.generation(), read.evacuated_zones.len()),
+        (
+            decoded.index,
+            decoded.generation(),
+            decoded.evacuated_zones.len()
+        ),
         (0, 0, 0)
     );
 }
@@ -389,23 +396,23 @@
 fn a_state_has_its_golden_snapshot() {
     let state = state();
     assert_golden(STORED, "state", &state.encode());
-    let mut read = ControlState::decode(&golden(STORED, "state")).unwrap();
-    assert_eq!(hex(&read.encode()), hex(&state.encode()));
-    assert_eq!((read.index, read.generation()), (5, 6));
-    assert_eq!(read.configuration, state.configuration);
-    assert_eq!(read.document(), state.document());
+    let mut decoded = ControlState::decode(&golden(STORED, "state")).unwrap();
+    assert_eq!(hex(&decoded.encode()), hex(&state.encode()));
+    assert_eq!((decoded.index, decoded.generation()), (5, 6));
+    assert_eq!(decoded.configuration, state.configuration);
+    assert_eq!(decoded.document(), state.document());
     assert_eq!(
-        read.evacuated_zones.iter().collect::<Vec<_>>(),
+        decoded.evacuated_zones.iter().collect::<Vec<_>>(),
         ["zone-1", "zone-2"]
     );
     // A command that was accepted before is acknowledged again, although its base generation is no
     // longer the current one.
-    let again = Command::Put {
+    let repeated = Command::Put {
         base: 0,
         body: DOCUMENT.as_bytes().to_vec(),
     };
-    assert_eq!(read.apply(6, &again), CommandOutcome::Accepted);
-    assert_eq!(read.generation(), 6);
+    assert_eq!(decoded.apply(6, &repeated), CommandOutcome::Accepted);
+    assert_eq!(decoded.generation(), 6);
 }
 
 #[test]
@@ -454,14 +461,14 @@
 /// The names of statuses appear in the log and in the JSON of a machine's status.
 #[test]
 fn statuses_have_their_golden_names() {
-    let all = [
+    let statuses = [
         UpstreamStatus::Ready,
         UpstreamStatus::TimedOut,
         UpstreamStatus::Draining,
         UpstreamStatus::Deregistered,
     ];
     assert_eq!(
-        all.map(|status| status.to_string()),
+        statuses.map(|status| status.to_string()),
         ["Ready", "Silent", "Draining", "Gone"]
     );
 }
--- a/crates/control/tests/load_notices.rs
+++ b/crates/control/tests/load_notices.rs
@@ -100,8 +100,8 @@
     subscribe(&mut machine, 1, 1, "n1");
     machine.tick(0);
     machine.receive_packet(10, "10.0.0.9:9", report(1, "n1", 5_000));
-    let all = notices(&mut machine, 50, 1_500);
-    let times: Vec<u64> = all.iter().map(|(now, ..)| *now).collect();
+    let delivered = notices(&mut machine, 50, 1_500);
+    let times: Vec<u64> = delivered.iter().map(|(now, ..)| *now).collect();
     assert!(
         times.len() >= 3,
         "the notice is sent again before the report expires: {times:?}"
@@ -110,8 +110,9 @@
         times.windows(2).all(|pair| pair[1] - pair[0] <= 350),
         "{times:?}"
     );
+    let (_, _, last_loads) = delivered.last().unwrap();
     assert!(
-        all.last().unwrap().2.is_empty(),
+        last_loads.is_empty(),
         "the last notification is empty because the report has expired"
     );
 }
--- a/crates/control/tests/loads.rs
+++ b/crates/control/tests/loads.rs
@@ -101,41 +101,41 @@
 #[test]
 fn each_placement_of_a_region_is_listed_once() {
     let mut loads = LoadReports::default();
-    let one = PrefixPlacement {
+    let first = PrefixPlacement {
         number: 1,
         upstream: UPSTREAM,
         prefix: 1,
         prefix_tokens: 9_000,
         suffix_tokens: 20,
     };
-    let other = PrefixPlacement {
+    let second = PrefixPlacement {
         number: 2,
         prefix: 2,
-        ..one
+        ..first
     };
     loads.record(
         0,
         LoadReport {
-            placements: vec![one, other],
+            placements: vec![first, second],
             ..report(1, "n1", 0, false)
         },
     );
     loads.record(
         0,
         LoadReport {
-            placements: vec![other],
+            placements: vec![second],
             ..report(2, "n2", 0, false)
         },
     );
     loads.record(
         0,
         LoadReport {
-            placements: vec![one],
+            placements: vec![first],
             ..report(3, "s1", 0, false)
         },
     );
     let combined = loads.for_zone("n2", |zone| zone.starts_with('n'));
-    assert_eq!(combined.placements, [one, other]);
+    assert_eq!(combined.placements, [first, second]);
     loads.remove_expired(801);
     assert!(loads.for_zone("n2", |_| true).is_empty());
 }
--- a/crates/control/tests/shards.rs
+++ b/crates/control/tests/shards.rs
@@ -46,13 +46,13 @@
 #[test]
 fn monitors_are_stable_when_other_machines_leave() {
     let nine = machines(9);
-    let of = |name: &str, machines: &[String]| -> Vec<String> {
+    let monitors_of = |name: &str, machines: &[String]| -> Vec<String> {
         monitors(name, machines.iter().map(String::as_str), 3)
             .into_iter()
             .map(str::to_owned)
             .collect()
     };
-    let before = of("front-1", &nine);
+    let before = monitors_of("front-1", &nine);
     assert_eq!(before.len(), 3);
     let other = nine
         .iter()
@@ -63,9 +63,9 @@
         .filter(|machine| *machine != other)
         .cloned()
         .collect();
-    assert_eq!(of("front-1", &eight), before);
+    assert_eq!(monitors_of("front-1", &eight), before);
     let used: BTreeSet<String> = (0..60)
-        .flat_map(|number| of(&format!("front-{number}"), &nine))
+        .flat_map(|number| monitors_of(&format!("front-{number}"), &nine))
         .collect();
     assert!(used.len() >= 7, "too few machines are used as monitors");
 }
