--- a/crates/node/src/core/golden_tests.rs
+++ b/crates/node/src/core/golden_tests.rs
@@ -76,8 +76,8 @@
     ] {
         let folder = tempfile::tempdir().unwrap();
         std::fs::copy(golden.join(name), folder.path().join(name)).unwrap();
-        let (_, read) = RegistrationStore::open(folder.path(), WRITE_TIME);
-        assert_eq!(read, expected, "{name}");
+        let (_, restored) = RegistrationStore::open(folder.path(), WRITE_TIME);
+        assert_eq!(restored, expected, "{name}");
     }
     let (_, newest) = RegistrationStore::open(&golden, WRITE_TIME + Duration::from_millis(7));
     assert_eq!(newest.len(), 40, "the second write is newer");
@@ -97,8 +97,8 @@
 
 #[test]
 fn initial_members_keep_their_ids_and_initial_state() {
-    let control: SocketAddr = "10.2.0.1:7000".parse().unwrap();
-    let state = initial_state(&settings_with_seeds(true), control);
+    let control_address: SocketAddr = "10.2.0.1:7000".parse().unwrap();
+    let state = initial_state(&settings_with_seeds(true), control_address);
     let mut text = format!(
         "id={:x} term={} vote={} commit={}\n",
         state.id, state.term, state.voted_for, state.commit_index
@@ -121,14 +121,17 @@
         writeln!(text, "member {:x} {}", member.id, member.address).unwrap();
     }
     assert_golden("founder.txt", text.as_bytes());
-    assert_eq!(state.id, initial_member_id(control));
+    assert_eq!(state.id, initial_member_id(control_address));
 }
 
 #[test]
 fn joining_machines_start_without_members() {
     let joining = [(false, "10.2.0.1:7000"), (true, "10.4.0.1:7000")];
-    for (bootstrap, control) in joining {
-        let state = initial_state(&settings_with_seeds(bootstrap), control.parse().unwrap());
+    for (bootstrap, control_address) in joining {
+        let state = initial_state(
+            &settings_with_seeds(bootstrap),
+            control_address.parse().unwrap(),
+        );
         assert_eq!(
             (
                 state.term,
@@ -152,8 +155,8 @@
 /// Starts an API server that gives the same response to each request. Descriptions of the received
 /// requests are sent to the returned channel.
 fn start_api(response: ApiResponse) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
-    let (events, mut received) = mpsc::unbounded_channel();
-    let control = free_address();
+    let (events, mut event_queue) = mpsc::unbounded_channel();
+    let control_address = free_address();
     let queues = RequestQueues {
         control: events,
         coordination: None,
@@ -163,12 +166,12 @@
         .build()
         .unwrap();
     let settings = settings_with_seeds(true);
-    let start = api_server::start(&settings, control, queues);
+    let start = api_server::start(&settings, control_address, queues);
     runtime.block_on(start).unwrap();
     thread::spawn(move || runtime.block_on(std::future::pending::<()>()));
     let (descriptions, received_requests) = std::sync::mpsc::channel();
     thread::spawn(move || {
-        while let Some(event) = received.blocking_recv() {
+        while let Some(event) = event_queue.blocking_recv() {
             if let Event::Api {
                 request, responder, ..
             } = event
@@ -178,7 +181,7 @@
             }
         }
     });
-    (control, received_requests)
+    (control_address, received_requests)
 }
 
 fn describe(request: ApiRequest) -> String {
@@ -300,14 +303,14 @@
         ("GET", "/v1/other", None, ""),
         ("GET", "/", None, ""),
     ];
-    let (address, received) = start_api(ApiResponse::Machine(CallResponse::Acknowledged));
+    let (address, requests) = start_api(ApiResponse::Machine(CallResponse::Acknowledged));
     let mut text = String::new();
     for (method, path, if_match, body) in calls {
-        let answer = call(address, method, path, if_match, body);
-        let received = received.try_recv().unwrap_or_else(|_| "-".to_owned());
+        let response = call(address, method, path, if_match, body);
+        let request = requests.try_recv().unwrap_or_else(|_| "-".to_owned());
         writeln!(
             text,
-            "{method} {path} if-match={if_match:?} {body}\n  call: {received}\n  answer: {answer}"
+            "{method} {path} if-match={if_match:?} {body}\n  call: {request}\n  answer: {response}"
         )
         .unwrap();
     }
@@ -318,9 +321,9 @@
 fn oversized_bodies_are_rejected() {
     let (address, _received) = start_api(ApiResponse::Machine(CallResponse::Acknowledged));
     let body = format!("\"{}\"", "x".repeat(6 << 20));
-    let answer = call(address, "PUT", "/v1/config", Some("3"), &body);
+    let response = call(address, "PUT", "/v1/config", Some("3"), &body);
     assert_eq!(
-        answer,
+        response,
         "413 text/plain; charset=utf-8 the body is too large\n"
     );
 }
--- a/crates/node/src/core/pending_requests/tests.rs
+++ b/crates/node/src/core/pending_requests/tests.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn an_accepted_registration_gets_the_address_of_later_heartbeats() {
-    for (answer, is_accepted) in [
+    for (machine_response, is_accepted) in [
         (CallResponse::Acknowledged, true),
         (CallResponse::Indeterminate, false),
     ] {
@@ -41,7 +41,7 @@
         let token = pending.next_token();
         let (responder, mut response) = oneshot::channel();
         pending.add_registration(token, responder, Some(URL.to_owned()));
-        pending.complete(token, answer);
+        pending.complete(token, machine_response);
         match response.try_recv() {
             Ok(ApiResponse::Registered { heartbeat_url }) => {
                 assert!(is_accepted);
--- a/crates/node/src/core/registration_store/tests.rs
+++ b/crates/node/src/core/registration_store/tests.rs
@@ -22,8 +22,8 @@
     }
 }
 
-fn statuses(folder: &std::path::Path, after: Duration) -> Vec<UpstreamStatus> {
-    let (_, registrations) = RegistrationStore::open(folder, WRITE_TIME + after);
+fn statuses(folder: &std::path::Path, elapsed: Duration) -> Vec<UpstreamStatus> {
+    let (_, registrations) = RegistrationStore::open(folder, WRITE_TIME + elapsed);
     registrations
         .iter()
         .map(|registration| registration.status)
@@ -33,8 +33,8 @@
 #[test]
 fn the_newest_write_is_read() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut store, none) = RegistrationStore::open(folder.path(), WRITE_TIME);
-    assert!(none.is_empty());
+    let (mut store, registrations) = RegistrationStore::open(folder.path(), WRITE_TIME);
+    assert!(registrations.is_empty());
     for status in [
         UpstreamStatus::Ready,
         UpstreamStatus::Draining,
--- a/crates/node/src/front/feed_sources/tests.rs
+++ b/crates/node/src/front/feed_sources/tests.rs
@@ -15,16 +15,16 @@
 
 #[test]
 fn feeds_read_different_machines_by_preference() {
-    let (mut sources, all, now) = (FeedSources::new(FEED_COUNT), machines(3), Instant::now());
-    assert_eq!(sources.select(now, 0, &all), Some(all[0]));
-    assert_eq!(sources.select(now, 1, &all), Some(all[1]));
+    let (mut sources, addresses, now) = (FeedSources::new(FEED_COUNT), machines(3), Instant::now());
+    assert_eq!(sources.select(now, 0, &addresses), Some(addresses[0]));
+    assert_eq!(sources.select(now, 1, &addresses), Some(addresses[1]));
     assert_eq!(
-        sources.select(now, 0, &all),
-        Some(all[0]),
+        sources.select(now, 0, &addresses),
+        Some(addresses[0]),
         "a feed may select its current machine again"
     );
     assert_eq!(
-        sources.select(now, 1, &all[..1]),
+        sources.select(now, 1, &addresses[..1]),
         None,
         "the only machine is read by the other feed"
     );
@@ -32,24 +32,26 @@
 
 #[test]
 fn an_abandoned_machine_is_avoided_for_the_avoidance_period() {
-    let (mut sources, all, mut now) = (FeedSources::new(FEED_COUNT), machines(3), Instant::now());
-    sources.select(now, 0, &all);
+    let (mut sources, addresses, mut now) =
+        (FeedSources::new(FEED_COUNT), machines(3), Instant::now());
+    sources.select(now, 0, &addresses);
     sources.abandon(now, 0);
     now += TIME_STEP;
-    assert_eq!(sources.select(now, 0, &all), Some(all[1]));
+    assert_eq!(sources.select(now, 0, &addresses), Some(addresses[1]));
     sources.abandon(now, 0);
     now += TIME_STEP;
-    assert_eq!(sources.select(now, 0, &all), Some(all[2]));
+    assert_eq!(sources.select(now, 0, &addresses), Some(addresses[2]));
     sources.abandon(now, 0);
     now += AVOIDANCE_PERIOD;
-    assert_eq!(sources.select(now, 0, &all), Some(all[0]));
+    assert_eq!(sources.select(now, 0, &addresses), Some(addresses[0]));
 }
 
 #[test]
 fn if_all_machines_were_abandoned_the_first_one_is_selected() {
-    let (mut sources, all, mut now) = (FeedSources::new(FEED_COUNT), machines(2), Instant::now());
-    for expected in [all[0], all[1], all[0], all[1]] {
-        assert_eq!(sources.select(now, 0, &all), Some(expected));
+    let (mut sources, addresses, mut now) =
+        (FeedSources::new(FEED_COUNT), machines(2), Instant::now());
+    for expected in [addresses[0], addresses[1], addresses[0], addresses[1]] {
+        assert_eq!(sources.select(now, 0, &addresses), Some(expected));
         sources.abandon(now, 0);
         now += TIME_STEP;
     }
--- a/crates/node/src/front/golden_tests.rs
+++ b/crates/node/src/front/golden_tests.rs
@@ -210,11 +210,11 @@
     let address = listener.local_addr().unwrap();
     let front = new_front(1);
     lock(&front.router).register(0, &registration("i-1"));
-    let client = Request::builder()
+    let client_request = Request::builder()
         .method("POST")
         .uri("/safe/1?a=b")
         .header("host", "shop.example");
-    let (head, ()) = client
+    let (head, ()) = client_request
         .header("request-id", "r-1")
         .header("x-other", "kept")
         .body(())
@@ -241,23 +241,23 @@
     let upstream = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         let request = read_request(&mut stream, 7).await;
-        let answer = "HTTP/1.1 200 OK\r\nrequest-id: r-1\r\nresponse-stamp: s\r\ncontent-length: 2\r\n\r\nok";
-        stream.write_all(answer.as_bytes()).await.unwrap();
+        let response = "HTTP/1.1 200 OK\r\nrequest-id: r-1\r\nresponse-stamp: s\r\ncontent-length: 2\r\n\r\nok";
+        stream.write_all(response.as_bytes()).await.unwrap();
         request
     };
-    let (attempted, request) = tokio::join!(attempt(&front, &forwarded, target), upstream);
-    let AttemptResult::Complete(parts, body) = attempted else {
-        panic!("no answer")
+    let (result, request) = tokio::join!(attempt(&front, &forwarded, target), upstream);
+    let AttemptResult::Complete(parts, body) = result else {
+        panic!("the attempt has no complete response")
     };
     assert_eq!((parts.status, &body[..]), (StatusCode::OK, &b"ok"[..]));
     // The remaining time varies, so a fixed value replaces it.
     let lines: Vec<String> = request
         .split("\r\n")
         .map(|line| match line.strip_prefix("deadline: ") {
-            Some(left) => {
+            Some(remaining_ms) => {
                 assert!(
-                    (3_000..=4_000).contains(&left.parse::<u64>().unwrap()),
-                    "{left}"
+                    (3_000..=4_000).contains(&remaining_ms.parse::<u64>().unwrap()),
+                    "{remaining_ms}"
                 );
                 "deadline: 3999".to_owned()
             }
