--- a/crates/mock-servers/src/grpc.rs
+++ b/crates/mock-servers/src/grpc.rs
@@ -87,14 +87,15 @@
     accepting: JoinHandle<()>,
 }
 
+/// The state that the tasks of an upstream share.
 struct Shared {
     script: Box<Script>,
     max_streams: Option<u32>,
-    event_sender: mpsc::UnboundedSender<ReceivedCall>,
-    connections: AtomicU32,
-    open: watch::Sender<usize>,
-    in_flight: AtomicUsize,
-    total: AtomicUsize,
+    call_sender: mpsc::UnboundedSender<ReceivedCall>,
+    accepted_connections: AtomicU32,
+    open_connections: watch::Sender<usize>,
+    calls_in_flight: AtomicUsize,
+    received_calls: AtomicUsize,
     go_away_requested: Notify,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
@@ -122,15 +123,15 @@
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (event_sender, calls) = mpsc::unbounded_channel();
+        let (call_sender, calls) = mpsc::unbounded_channel();
         let shared = Arc::new(Shared {
             script: Box::new(script),
             max_streams,
-            event_sender,
-            connections: AtomicU32::new(0),
-            open: watch::Sender::new(0),
-            in_flight: AtomicUsize::new(0),
-            total: AtomicUsize::new(0),
+            call_sender,
+            accepted_connections: AtomicU32::new(0),
+            open_connections: watch::Sender::new(0),
+            calls_in_flight: AtomicUsize::new(0),
+            received_calls: AtomicUsize::new(0),
             go_away_requested: Notify::new(),
             tasks: Mutex::default(),
         });
@@ -161,22 +162,22 @@
 
     /// The number of calls received so far.
     pub fn total(&self) -> usize {
-        self.shared.total.load(Ordering::Relaxed)
+        self.shared.received_calls.load(Ordering::Relaxed)
     }
 
     /// The number of calls in flight.
     pub fn in_flight(&self) -> usize {
-        self.shared.in_flight.load(Ordering::Relaxed)
+        self.shared.calls_in_flight.load(Ordering::Relaxed)
     }
 
     /// The number of connections accepted so far.
     pub fn connections(&self) -> u32 {
-        self.shared.connections.load(Ordering::Relaxed)
+        self.shared.accepted_connections.load(Ordering::Relaxed)
     }
 
     /// The number of open connections, as a value whose changes can be awaited.
     pub fn open_connections(&self) -> watch::Receiver<usize> {
-        self.shared.open.subscribe()
+        self.shared.open_connections.subscribe()
     }
 
     /// Sends GOAWAY on all connections. Open streams continue.
@@ -192,12 +193,12 @@
     }
 }
 
-/// Decrements the number of calls in flight on drop, so that aborted tasks are counted too.
+/// Decrements the number of calls in flight on drop, and thereby also when the task of a call is aborted.
 struct InFlightGuard<'a>(&'a Shared);
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
+        self.0.calls_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -207,7 +208,7 @@
     }
 
     async fn connection(self: Arc<Self>, tcp: TcpStream) {
-        let number = self.connections.fetch_add(1, Ordering::Relaxed);
+        let number = self.accepted_connections.fetch_add(1, Ordering::Relaxed);
         let mut builder = Builder::new();
         if let Some(max_streams) = self.max_streams {
             builder.max_concurrent_streams(max_streams);
@@ -215,7 +216,7 @@
         let Ok(mut connection) = builder.handshake::<_, Bytes>(tcp).await else {
             return;
         };
-        self.open.send_modify(|open| *open += 1);
+        self.open_connections.send_modify(|open| *open += 1);
         let go_away_requested = self.go_away_requested.notified();
         tokio::pin!(go_away_requested);
         let mut is_closing = false;
@@ -234,7 +235,7 @@
                 }
             }
         }
-        self.open.send_modify(|open| *open -= 1);
+        self.open_connections.send_modify(|open| *open -= 1);
     }
 
     async fn call(
@@ -243,8 +244,8 @@
         respond: SendResponse<Bytes>,
         connection: u32,
     ) {
-        self.total.fetch_add(1, Ordering::Relaxed);
-        self.in_flight.fetch_add(1, Ordering::Relaxed);
+        self.received_calls.fetch_add(1, Ordering::Relaxed);
+        self.calls_in_flight.fetch_add(1, Ordering::Relaxed);
         let _in_flight = InFlightGuard(&self);
         let (head, mut incoming) = request.into_parts();
         let mut body = BytesMut::new();
@@ -253,14 +254,14 @@
             body.extend_from_slice(&data);
         }
         let path = head.uri.path().to_owned();
-        let called = ReceivedCall {
+        let received_call = ReceivedCall {
             path,
             headers: head.headers,
             body: body.freeze(),
             connection,
         };
-        let reply = (self.script)(&called);
-        self.event_sender.send(called).ok();
+        let reply = (self.script)(&received_call);
+        self.call_sender.send(received_call).ok();
         send_reply(reply, respond).await;
     }
 }
--- a/crates/mock-servers/src/http1.rs
+++ b/crates/mock-servers/src/http1.rs
@@ -67,7 +67,7 @@
     Respond(String),
     /// Writes this response and closes the connection.
     RespondAndClose(String),
-    /// Writes a response, and then surplus bytes that belong to no request.
+    /// Writes a response (the first text), and then surplus bytes that belong to no request (the second text).
     RespondWithSurplus(String, String),
     /// Writes no response.
     Stall,
@@ -173,9 +173,9 @@
                 output.write_all(text.as_bytes()).unwrap_or(());
                 break;
             }
-            Reaction::RespondWithSurplus(text, more) => {
+            Reaction::RespondWithSurplus(text, surplus) => {
                 output.write_all(text.as_bytes()).unwrap_or(());
-                output.write_all(more.as_bytes()).unwrap_or(());
+                output.write_all(surplus.as_bytes()).unwrap_or(());
                 event_sender.send(UpstreamEvent::SurplusWritten).ok();
             }
             Reaction::Stall => {}
@@ -212,12 +212,24 @@
     address
 }
 
+/// The list that a discovery server publishes.
+struct PublishedList {
+    revision: u64,
+    /// The entries as JSON, separated by commas.
+    entries: String,
+}
+
+/// The published list, and the notification of its changes to requests that wait for one.
+struct SharedList {
+    list: Mutex<PublishedList>,
+    changed: Condvar,
+}
+
 /// A discovery server with long polling.
 pub struct Discovery {
     /// Listen address.
     pub address: SocketAddr,
-    /// Revision and entries of the list.
-    state: Arc<(Mutex<(u64, String)>, Condvar)>,
+    shared: Arc<SharedList>,
     /// Receives the revision that each request names, or 0 for a request for the complete list.
     queries: Receiver<u64>,
 }
@@ -228,44 +240,49 @@
         Self::start_failing("")
     }
 
-    /// Starts a server with an empty list that writes the text `first` in response to the first request and then closes
-    /// its connection. If `first` is empty, the first request is served normally.
-    pub fn start_failing(first: &'static str) -> Self {
-        let failed = AtomicBool::new(first.is_empty());
-        let state = Arc::new((Mutex::new((1, String::new())), Condvar::new()));
-        let (shared, (event_sender, queries)) = (state.clone(), channel());
+    /// Starts a server with an empty list that writes the text `failure` in response to the first request and then
+    /// closes its connection. If `failure` is empty, the first request is served normally.
+    pub fn start_failing(failure: &'static str) -> Self {
+        let has_failed = AtomicBool::new(failure.is_empty());
+        let shared = Arc::new(SharedList {
+            list: Mutex::new(PublishedList {
+                revision: 1,
+                entries: String::new(),
+            }),
+            changed: Condvar::new(),
+        });
+        let (server_list, (query_sender, queries)) = (shared.clone(), channel());
         let address = listen(move |stream| {
             let mut output = stream.try_clone().unwrap();
             let mut input = BufReader::new(stream);
             while let Some(message) = Message::read(&mut input) {
-                if !failed.swap(true, Ordering::Relaxed) {
-                    output.write_all(first.as_bytes()).unwrap();
+                if !has_failed.swap(true, Ordering::Relaxed) {
+                    output.write_all(failure.as_bytes()).unwrap();
                     return;
                 }
                 // A request for the complete list names no revision.
                 let after = message.start_line.split("after=").nth(1);
                 let after: u64 =
                     after.map_or(0, |after| after.split('&').next().unwrap().parse().unwrap());
-                event_sender.send(after).ok();
+                query_sender.send(after).ok();
                 // A request without `wait_ms` asks for the complete list, which is available at once.
                 let wait = message.start_line.split("wait_ms=").nth(1);
                 let wait = wait
                     .and_then(|wait| wait.split([' ', '&']).next()?.parse().ok())
                     .unwrap_or(0);
-                let (lock, changed) = &*shared;
-                let is_unchanged = |(rev, _): &mut (u64, String)| *rev <= after;
-                let waited = changed.wait_timeout_while(
-                    lock.lock().unwrap(),
+                let is_unchanged = |list: &mut PublishedList| list.revision <= after;
+                let waited = server_list.changed.wait_timeout_while(
+                    server_list.list.lock().unwrap(),
                     Duration::from_millis(wait),
                     is_unchanged,
                 );
-                let state = waited.unwrap().0;
-                let (rev, targets) = &*state;
-                let body = match *rev > after {
-                    true => format!(r#"{{"rev":{rev},"all":true,"targets":[{targets}]}}"#),
-                    false => format!(r#"{{"rev":{rev},"all":false,"targets":[]}}"#),
+                let (list, _) = waited.unwrap();
+                let PublishedList { revision, entries } = &*list;
+                let body = match *revision > after {
+                    true => format!(r#"{{"rev":{revision},"all":true,"targets":[{entries}]}}"#),
+                    false => format!(r#"{{"rev":{revision},"all":false,"targets":[]}}"#),
                 };
-                drop(state);
+                drop(list);
                 if output.write_all(ok_response(&body).as_bytes()).is_err() {
                     return;
                 }
@@ -273,7 +290,7 @@
         });
         Self {
             address,
-            state,
+            shared,
             queries,
         }
     }
@@ -286,21 +303,21 @@
 
     /// Publishes a list without waiting for the balancer.
     pub fn set(&self, targets: &[String]) {
-        let (lock, changed) = &*self.state;
-        let mut state = lock.lock().unwrap();
-        *state = (state.0 + 1, targets.join(","));
-        drop(state);
-        changed.notify_all();
+        let mut list = self.shared.list.lock().unwrap();
+        list.revision += 1;
+        list.entries = targets.join(",");
+        drop(list);
+        self.shared.changed.notify_all();
     }
 
     /// Waits until the balancer has applied the current list and requested the next one.
     pub fn wait_until_watched(&self) {
-        let rev = self.state.0.lock().unwrap().0;
+        let revision = self.shared.list.lock().unwrap().revision;
         while self
             .queries
             .recv_timeout(TEST_TIMEOUT)
             .expect("a request for the next list")
-            < rev
+            < revision
         {}
     }
 }
@@ -428,9 +445,9 @@
 /// Returns the text of a request of a class (`look`, `pay` or `post`) with a unique id. `budget` is the value of the
 /// header `X-Budget`, in seconds.
 pub fn request(class: &str, budget: &str, body: &str) -> String {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
+    static NEXT_ID: AtomicU32 = AtomicU32::new(0);
     named_request(
-        &format!("9b1f03aa{:08x}", NEXT.fetch_add(1, Ordering::Relaxed)),
+        &format!("9b1f03aa{:08x}", NEXT_ID.fetch_add(1, Ordering::Relaxed)),
         class,
         budget,
         body,
@@ -439,14 +456,14 @@
 
 /// Returns the text of a request like [`request`], with the id `id` in the header `X-Call-Id`.
 pub fn named_request(id: &str, class: &str, budget: &str, body: &str) -> String {
-    let (method, extra, body) = match class {
+    let (method, key_header, body) = match class {
         "look" => ("GET", "", ""),
         "pay" => ("POST", "Idempotency-Key: 5c0f6e1a\r\n", body),
         _ => ("POST", "", body),
     };
     format!(
         "{method} /{class}?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
-         X-Caller: acme\r\nX-Budget: {budget}\r\n{extra}Content-Length: {}\r\n\r\n{body}",
+         X-Caller: acme\r\nX-Budget: {budget}\r\n{key_header}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
--- a/crates/mock-servers/src/raw_http2.rs
+++ b/crates/mock-servers/src/raw_http2.rs
@@ -42,28 +42,28 @@
 }
 
 impl RawHttp2Server {
-    /// Starts a server that takes the action `then` once `streams` streams have been opened on a connection.
-    pub fn start(streams: usize, then: ScriptedAction) -> Self {
+    /// Starts a server that takes the action once `stream_count` streams have been opened on a connection.
+    pub fn start(stream_count: usize, action: ScriptedAction) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (event_sender, opened) = channel();
+        let (id_sender, opened) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (event_sender, then) = (event_sender.clone(), then.clone());
-                std::thread::spawn(move || serve(stream, streams, &then, &event_sender));
+                let (id_sender, action) = (id_sender.clone(), action.clone());
+                std::thread::spawn(move || serve(stream, stream_count, &action, &id_sender));
             }
         });
         Self { address, opened }
     }
 
-    /// Waits until `streams` more streams have been opened, and returns their ids.
-    pub fn wait_for(&self, streams: usize) -> Vec<u32> {
+    /// Waits until `stream_count` more streams have been opened, and returns their ids.
+    pub fn wait_for(&self, stream_count: usize) -> Vec<u32> {
         let next = || {
             self.opened
                 .recv_timeout(crate::http1::TEST_TIMEOUT)
                 .expect("one more stream")
         };
-        (0..streams).map(|_| next()).collect()
+        (0..stream_count).map(|_| next()).collect()
     }
 }
 
@@ -77,9 +77,9 @@
 
 fn serve(
     mut stream: TcpStream,
-    streams: usize,
-    then: &ScriptedAction,
-    event_sender: &Sender<u32>,
+    stream_count: usize,
+    action: &ScriptedAction,
+    id_sender: &Sender<u32>,
 ) -> Option<()> {
     let mut preface = [0; PREFACE_BYTES];
     stream.read_exact(&mut preface).ok()?;
@@ -99,9 +99,9 @@
             PING if head[4] & ACK == 0 => stream.write_all(&frame(PING, ACK, 0, &payload)).ok()?,
             HEADERS => {
                 opened.push(id);
-                event_sender.send(id).ok();
-                if opened.len() == streams {
-                    act(&mut stream, &opened, then)?;
+                id_sender.send(id).ok();
+                if opened.len() == stream_count {
+                    take_action(&mut stream, &opened, action)?;
                 }
             }
             _ => {}
@@ -109,14 +109,14 @@
     }
 }
 
-fn act(stream: &mut TcpStream, opened: &[u32], then: &ScriptedAction) -> Option<()> {
-    match *then {
+fn take_action(stream: &mut TcpStream, opened: &[u32], action: &ScriptedAction) -> Option<()> {
+    match *action {
         ScriptedAction::GoAway { processed_streams } => {
-            let last = opened
+            let last_stream_id = opened
                 .get((processed_streams as usize).wrapping_sub(1))
                 .copied()
                 .unwrap_or(0);
-            let mut payload = last.to_be_bytes().to_vec();
+            let mut payload = last_stream_id.to_be_bytes().to_vec();
             payload.extend(0_u32.to_be_bytes()); // NO_ERROR
             stream.write_all(&frame(GOAWAY, 0, 0, &payload)).ok()?;
             stream.shutdown(Shutdown::Write).ok()?;
--- a/crates/mock-servers/src/simulated_upstream.rs
+++ b/crates/mock-servers/src/simulated_upstream.rs
@@ -89,10 +89,10 @@
     started: Option<Instant>,
     /// Start of the present process in Unix milliseconds; 0 for the first process.
     boot_ms: u64,
-    /// Requests that wait for a slot or are being executed.
-    queued: usize,
+    /// Number of requests that wait for a slot or are being executed.
+    in_flight: usize,
     /// Arrival times of the requests within the last window, during a slow start.
-    received: VecDeque<Instant>,
+    recent_arrivals: VecDeque<Instant>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -141,8 +141,8 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        (state.boot_ms, state.queued) = (unix.as_millis() as u64, 0);
-        state.received.clear();
+        (state.boot_ms, state.in_flight) = (unix.as_millis() as u64, 0);
+        state.recent_arrivals.clear();
         drop(state);
         *lock(&self.process) = Some(serve(listener, self.inner.clone()));
     }
@@ -198,52 +198,52 @@
     process
 }
 
-/// A place in the queue, which is freed on drop.
-struct QueueSlot<'a>(&'a Inner);
+/// The place of an admitted request among the slots and the queue, which is freed on drop.
+struct Admission<'a>(&'a Inner);
 
-impl Drop for QueueSlot<'_> {
+impl Drop for Admission<'_> {
     fn drop(&mut self) {
         let mut state = lock(&self.0.state);
-        state.queued = state.queued.saturating_sub(1);
+        state.in_flight = state.in_flight.saturating_sub(1);
     }
 }
 
 impl Inner {
-    /// The fraction of the full capacity that is available at a time.
-    fn capacity_fraction(&self, state: &State, at: Instant) -> f64 {
+    /// The fraction of the full capacity that is available at the time `now`.
+    fn capacity_fraction(&self, state: &State, now: Instant) -> f64 {
         let Some(started) = state.started else {
             return 1.0;
         };
-        let progress = (at - started).as_secs_f64() / self.spec.slow_start.as_secs_f64();
+        let progress = (now - started).as_secs_f64() / self.spec.slow_start.as_secs_f64();
         (self.spec.start_fraction + (1.0 - self.spec.start_fraction) * progress).min(1.0)
     }
 
-    /// Counts a request and takes a place in the queue for it; `None` if the request is rejected.
-    fn admit(&self) -> Option<QueueSlot<'_>> {
+    /// Counts a request and takes a place for it; `None` if the request is rejected.
+    fn admit(&self) -> Option<Admission<'_>> {
         let (now, spec) = (Instant::now(), &self.spec);
         let mut state = lock(&self.state);
         state.counters.received += 1;
         let capacity_fraction = self.capacity_fraction(&state, now);
         if capacity_fraction < 1.0 {
-            state.received.push_back(now);
+            state.recent_arrivals.push_back(now);
             while state
-                .received
+                .recent_arrivals
                 .front()
-                .is_some_and(|received| now - *received > spec.window)
+                .is_some_and(|arrival| now - *arrival > spec.window)
             {
-                state.received.pop_front();
+                state.recent_arrivals.pop_front();
             }
             let expected = spec.capacity() * capacity_fraction * spec.window.as_secs_f64();
-            let load = state.received.len() as f64 / (spec.overload_factor * expected);
+            let load = state.recent_arrivals.len() as f64 / (spec.overload_factor * expected);
             state.counters.peak_load = state.counters.peak_load.max(load);
             state.counters.overloaded |= load > 1.0;
         }
-        if state.counters.overloaded || state.queued >= spec.queue_length + spec.slots {
+        if state.counters.overloaded || state.in_flight >= spec.queue_length + spec.slots {
             state.counters.rejected += 1;
             return None;
         }
-        state.queued += 1;
-        Some(QueueSlot(self))
+        state.in_flight += 1;
+        Some(Admission(self))
     }
 
     async fn respond(&self, request: Request<Incoming>) -> Response<Body> {
@@ -252,7 +252,7 @@
         let is_grpc =
             content_type.is_some_and(|value| value.as_bytes().starts_with(b"application/grpc"));
         body.collect().await.ok();
-        let Some(_queue_slot) = self.admit() else {
+        let Some(_admission) = self.admit() else {
             return rejected_response(is_grpc);
         };
         let slot = self.slots.acquire().await;
--- a/crates/mock-servers/src/stalled_listener.rs
+++ b/crates/mock-servers/src/stalled_listener.rs
@@ -56,7 +56,7 @@
     /// The number of sockets in the state SYN_SENT towards this listener, without the sockets that fill the backlog.
     fn connecting_sockets(&self) -> usize {
         let port = |address: &SocketAddr| format!(":{:04X}", address.port());
-        let own: Vec<String> = self
+        let filler_ports: Vec<String> = self
             .backlog
             .iter()
             .map(|filler| port(&filler.local_addr().unwrap().as_socket().unwrap()))
@@ -67,7 +67,9 @@
             let [local, remote, state] = [fields[1], fields[2], fields[3]];
             remote.ends_with(&port(&self.address))
                 && state == SYN_SENT
-                && !own.iter().any(|own| local.ends_with(own.as_str()))
+                && !filler_ports
+                    .iter()
+                    .any(|port| local.ends_with(port.as_str()))
         };
         sockets.lines().skip(1).filter(is_connecting).count()
     }
@@ -97,7 +99,7 @@
     /// Empties the backlog, and accepts the next connection that the listener did not open itself; `None` if there is
     /// none within `timeout`.
     pub fn accept(&mut self, timeout: Duration) -> Option<TcpStream> {
-        let own: Vec<SockAddr> = self
+        let filler_addresses: Vec<SockAddr> = self
             .backlog
             .drain(..)
             .map(|filler| filler.local_addr().unwrap())
@@ -107,7 +109,9 @@
         while began.elapsed() < timeout {
             match self.listener.accept() {
                 Ok((stream, peer))
-                    if !own.iter().any(|own| own.as_socket() == peer.as_socket()) =>
+                    if !filler_addresses
+                        .iter()
+                        .any(|filler| filler.as_socket() == peer.as_socket()) =>
                 {
                     stream.set_nonblocking(false).unwrap();
                     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
--- a/crates/mock-servers/src/system.rs
+++ b/crates/mock-servers/src/system.rs
@@ -129,16 +129,16 @@
             .collect();
         drop(listeners);
         ports[4..].sort_unstable();
-        let id = std::process::id().to_le_bytes();
+        let test_process_id = std::process::id().to_le_bytes();
         let mut system = Self {
             program: program.to_owned(),
-            folder: tempfile::tempdir().expect("a folder"),
+            folder: tempfile::tempdir().expect("a temporary folder can be created"),
             layout,
             log_folder,
             ports: ports.try_into().expect("all ports"),
             subnet: (
-                id[0].clamp(1, 250),
-                id[1].wrapping_add(NEXT_SUBNET.fetch_add(1, Ordering::Relaxed)),
+                test_process_id[0].clamp(1, 250),
+                test_process_id[1].wrapping_add(NEXT_SUBNET.fetch_add(1, Ordering::Relaxed)),
             ),
             cores: (0..layout.cores).map(|_| None).collect(),
             fronts: (0..layout.fronts).map(|_| None).collect(),
@@ -224,8 +224,8 @@
     /// Changes a process's settings file.
     pub fn rewrite_settings(&self, name: &str, change: impl FnOnce(&mut Value)) {
         let path = self.folder.path().join(format!("{name}.json"));
-        let text = std::fs::read(&path).expect("its settings");
-        let mut settings = serde_json::from_slice(&text).expect("a document");
+        let text = std::fs::read(&path).expect("the settings file can be read");
+        let mut settings = serde_json::from_slice(&text).expect("the settings are JSON");
         change(&mut settings);
         std::fs::write(&path, settings.to_string()).expect("the settings can be written");
     }
@@ -266,7 +266,10 @@
         let folder = self.log_folder.as_ref()?;
         let mut options = OpenOptions::new();
         let file = options.create(true).append(true);
-        Some(file.open(folder.join(name)).expect("a file for the log"))
+        Some(
+            file.open(folder.join(name))
+                .expect("the log file can be opened"),
+        )
     }
 
     fn spawn(&self, name: &str, role: &str, settings: &Value) -> Process {
@@ -280,10 +283,10 @@
             .stderr(Stdio::piped())
             .spawn();
         let mut child = child.expect("the program starts");
-        let (event_sender, log) = channel();
-        let lines = child.stderr.take().expect("its standard error");
+        let (line_sender, log) = channel();
+        let output = child.stderr.take().expect("standard error is piped");
         let file = self.log_file(name);
-        thread::spawn(move || forward_lines(lines, &event_sender, file));
+        thread::spawn(move || forward_lines(output, &line_sender, file));
         Process {
             name: name.to_owned(),
             child,
@@ -361,12 +364,13 @@
     }
 }
 
-fn forward_lines(lines: impl Read, event_sender: &Sender<String>, mut file: Option<File>) {
-    for line in BufReader::new(lines).lines().map_while(Result::ok) {
+/// Sends each line of a process's output to its receiver, and appends it to the log file if there is one.
+fn forward_lines(output: impl Read, line_sender: &Sender<String>, mut file: Option<File>) {
+    for line in BufReader::new(output).lines().map_while(Result::ok) {
         if let Some(file) = &mut file {
             writeln!(file, "{line}").expect("the log file can be written");
         }
-        if event_sender.send(line).is_err() {
+        if line_sender.send(line).is_err() {
             return;
         }
     }
