--- a/crates/transport/src/classify/tests.rs
+++ b/crates/transport/src/classify/tests.rs
@@ -38,13 +38,13 @@
         ("", &[], Outcome::Error, false),
         ("-1", &[], Outcome::Error, false),
     ];
-    for &(status, more, outcome, is_final) in cases {
-        let mut trailers = headers(more);
+    for &(status, extra_trailers, outcome, is_final) in cases {
+        let mut trailers = headers(extra_trailers);
         trailers.insert("grpc-status", status.parse().unwrap());
         assert_eq!(
             classify_grpc(&trailers),
             Classification { outcome, is_final },
-            "{status} {more:?}"
+            "{status} {extra_trailers:?}"
         );
     }
     assert_eq!(
@@ -64,14 +64,14 @@
         (504, true, Outcome::Full, false),
     ];
     for &(status, is_rejected, outcome, is_final) in http_cases {
-        let more = if is_rejected {
+        let headers = if is_rejected {
             headers(REJECTED)
         } else {
             headers(&[])
         };
         let status = StatusCode::from_u16(status).unwrap();
         assert_eq!(
-            classify_http(status, &more),
+            classify_http(status, &headers),
             Classification { outcome, is_final },
             "{status} {is_rejected}"
         );
--- a/crates/transport/src/headers.rs
+++ b/crates/transport/src/headers.rs
@@ -16,7 +16,8 @@
     names.filter_map(|name| name.trim().parse().ok()).collect()
 }
 
-/// Removes the headers that apply to one connection only, and keeps the end-to-end headers.
+/// Removes the headers that apply to one connection only, and the other headers that are not forwarded:
+/// `Content-Length`, `Date`, `Expect` and the upstream's load report (`x-load-report`).
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let options = connection_options(headers);
     let hop_by_hop = [
--- a/crates/transport/src/http1/body.rs
+++ b/crates/transport/src/http1/body.rs
@@ -31,7 +31,7 @@
 /// The body of a response that has started. Dropping it before its end cancels the attempt.
 pub struct StreamingBody {
     /// Bytes received before streaming began; empty once they have been read.
-    first: Bytes,
+    buffered: Bytes,
     /// Length of the whole body in bytes, if known.
     length: Option<u64>,
     /// Number of further bytes that the size limit allows.
@@ -56,17 +56,17 @@
 }
 
 impl StreamingBody {
-    /// Creates a body of which `first` has been received. A body with more than `remaining_limit` further bytes is an
+    /// Creates a body of which `buffered` has been received. A body with more than `remaining_limit` further bytes is an
     /// error.
     pub(super) fn new(
-        first: Bytes,
+        buffered: Bytes,
         length: Option<u64>,
         remaining_limit: usize,
         body: Incoming,
         connection: Connection,
     ) -> Self {
         Self {
-            first,
+            buffered,
             length,
             remaining_limit,
             body,
@@ -77,7 +77,7 @@
     }
 
     /// Sets the pool entry to which the connection returns when the body ends.
-    pub(super) fn return_to(&mut self, pool: Arc<Mutex<Pool>>, server: ServerId, epoch: u64) {
+    pub(super) fn set_pool_slot(&mut self, pool: Arc<Mutex<Pool>>, server: ServerId, epoch: u64) {
         self.pool_slot = Some(PoolSlot {
             pool,
             server,
@@ -86,7 +86,7 @@
     }
 
     /// Sets the receiver of the attempt's outcome.
-    pub(super) fn report_to(&mut self, tail: ResponseTail) {
+    pub(super) fn set_tail(&mut self, tail: ResponseTail) {
         self.tail = Some(tail);
     }
 
@@ -99,7 +99,7 @@
     /// Whether the body has ended; reports the end if so. If the length is known, readers do not poll beyond it, so the
     /// end must be detected without another poll.
     fn has_ended(&mut self, polled_to_end: bool) -> bool {
-        let has_ended = polled_to_end || self.first.is_empty() && self.body.is_end_stream();
+        let has_ended = polled_to_end || self.buffered.is_empty() && self.body.is_end_stream();
         if has_ended {
             self.report_end(Outcome::Ok);
         }
@@ -107,8 +107,8 @@
     }
 
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
+        if !self.buffered.is_empty() {
+            return Poll::Ready(Some(Ok(std::mem::take(&mut self.buffered))));
         }
         loop {
             let (outcome, error) = match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
--- a/crates/transport/src/http1/exchange.rs
+++ b/crates/transport/src/http1/exchange.rs
@@ -22,6 +22,7 @@
 /// The result of an attempt that has ended.
 pub(super) struct CompletedExchange {
     pub outcome: Outcome,
+    /// The response is passed on to the caller; otherwise another attempt may follow.
     is_final: bool,
     /// The response, if it was received completely.
     pub response: Option<Response<Bytes>>,
@@ -102,8 +103,8 @@
     }
 }
 
-/// The outcome of an attempt whose connection broke. Only if the last byte of the request was not written, the upstream
-/// cannot have executed it.
+/// The outcome of an attempt whose connection broke. If the last byte of the request was not written, the upstream
+/// cannot have executed the request; otherwise it may have.
 fn outcome_of_broken_connection(connection: &Connection) -> Outcome {
     match connection.progress.written.load(Ordering::Relaxed) {
         true => Outcome::Reset,
@@ -121,7 +122,7 @@
     let Classification { outcome, is_final } = classify_http(head.status, &head.headers);
     let length = body.size_hint().exact();
     if body.size_hint().lower() > limits.max as u64 {
-        return Outcome::Error.into(); // exceeds the size limit
+        return Outcome::Error.into(); // the response exceeds the size limit
     }
     let may_stream = is_final && limits.max > limits.buffered;
     let buffer_limit = match length {
@@ -141,7 +142,7 @@
             continue;
         }
         if !may_stream || received.len() > limits.max {
-            return Outcome::Error.into(); // exceeds the size limit
+            return Outcome::Error.into(); // the response exceeds the size limit
         }
         let remaining_limit = limits.max - received.len();
         let body = StreamingBody::new(received.freeze(), length, remaining_limit, body, connection);
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// Returns for how long an idle connection is kept, given the idle timeout of its upstream.
-fn with_margin(upstream_timeout: Duration) -> Duration {
+fn pooled_idle_timeout(upstream_timeout: Duration) -> Duration {
     upstream_timeout - IDLE_TIMEOUT_MARGIN.min(upstream_timeout / 2)
 }
 
@@ -64,7 +64,7 @@
     /// the bytes of a response body.
     pub fn new(names: &Names, idle_timeout: Duration, max_open: usize, max_body: usize) -> Self {
         let counts = Arc::<ConnectionCounts>::default();
-        let pool = Pool::new(with_margin(idle_timeout), max_open, counts.clone());
+        let pool = Pool::new(pooled_idle_timeout(idle_timeout), max_open, counts.clone());
         Self {
             pool: Arc::new(Mutex::new(pool)),
             counts,
@@ -87,7 +87,7 @@
     pub fn reconfigure(&self, names: &Names, idle_timeout: Duration) {
         self.connect_timeout_ns
             .store(nanos(names.connect_timeout), Ordering::Relaxed);
-        lock(&self.pool).set_idle_timeout(with_margin(idle_timeout));
+        lock(&self.pool).set_idle_timeout(pooled_idle_timeout(idle_timeout));
     }
 
     /// Closes all idle connections. Busy connections are closed after their present response.
@@ -116,7 +116,8 @@
         async move {
             match exchange.await {
                 Exchange::Completed(completed) => completed.into_attempt_end(&fields),
-                Exchange::Started(_) => Outcome::Error.into(), // exceeds the buffer limit
+                // The response exceeds the buffer limit.
+                Exchange::Started(_) => Outcome::Error.into(),
             }
         }
     }
@@ -170,7 +171,7 @@
             if !lock(&pool).is_current(peer.server, epoch) {
                 return Outcome::Moot.into();
             }
-            // Called after connecting, so that the time left does not include the time spent on connecting.
+            // `begin` is called after connecting, so that the time left does not include the time spent on connecting.
             let Some(time_left) = begin() else {
                 return Outcome::Moot.into();
             };
@@ -183,7 +184,7 @@
                     }
                 }
                 Exchange::Started(response) => {
-                    response.body_mut().return_to(pool, peer.server, epoch);
+                    response.body_mut().set_pool_slot(pool, peer.server, epoch);
                 }
             }
             exchange
@@ -210,7 +211,7 @@
                 }
                 Exchange::Started(response) => AttemptProgress::ResponseStarted(Box::new(|tail| {
                     response.map(|mut body| {
-                        body.report_to(tail);
+                        body.set_tail(tail);
                         Http1Body::Streaming(Box::new(body))
                     })
                 })),
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -35,14 +35,14 @@
 }
 
 struct IdleConnection {
-    since: Instant,
+    idle_since: Instant,
     connection: Connection,
 }
 
 impl IdleConnection {
     /// Whether the connection is within the idle timeout and has received nothing since its last response.
     fn is_usable(&self, idle_timeout: Duration) -> bool {
-        self.since.elapsed() < idle_timeout && self.connection.is_reusable()
+        self.idle_since.elapsed() < idle_timeout && self.connection.is_reusable()
     }
 }
 
@@ -115,9 +115,10 @@
             });
         }
         pool.idle.retain(|idle| idle.is_usable(self.idle_timeout));
-        let delayed = pool.idle.len();
+        // The usable connections that remain are all within their reuse delay.
+        let delayed_connections = pool.idle.len();
         let may_open = self.make_capacity();
-        if may_open && delayed < MAX_DELAYED_CONNECTIONS {
+        if may_open && delayed_connections < MAX_DELAYED_CONNECTIONS {
             return Some(Checkout { epoch, idle: None });
         }
         let oldest = self
@@ -148,7 +149,7 @@
             .filter(|pool| pool.epoch == epoch)
         {
             pool.idle.push(IdleConnection {
-                since: Instant::now(),
+                idle_since: Instant::now(),
                 connection,
             });
         }
@@ -168,7 +169,7 @@
             let oldest = self
                 .upstreams
                 .iter()
-                .filter_map(|(server, pool)| Some((pool.idle.first()?.since, *server)))
+                .filter_map(|(server, pool)| Some((pool.idle.first()?.idle_since, *server)))
                 .min();
             if let Some((_, server)) = oldest {
                 self.upstreams
@@ -188,7 +189,7 @@
     /// Takes the most recently used connection that is usable and has been idle for at least `reuse_delay`. Closes the
     /// unusable connections that it meets; in most cases this inspects one socket instead of all idle ones.
     fn take_usable(&mut self, reuse_delay: Duration, idle_timeout: Duration) -> Option<Connection> {
-        let is_past_delay = |idle: &IdleConnection| idle.since.elapsed() >= reuse_delay;
+        let is_past_delay = |idle: &IdleConnection| idle.idle_since.elapsed() >= reuse_delay;
         while let Some(position) = self.idle.iter().rposition(is_past_delay) {
             let idle = self.idle.remove(position);
             if idle.is_usable(idle_timeout) {
--- a/crates/transport/src/http1/tests.rs
+++ b/crates/transport/src/http1/tests.rs
@@ -15,11 +15,11 @@
     let peer = listener.try_clone().unwrap();
     let peer = tokio::task::spawn_blocking(move || {
         let mut stream = peer.accept().unwrap().0;
-        let mut got = Vec::new();
-        while !got.ends_with(b"\r\n\r\n") {
+        let mut received = Vec::new();
+        while !received.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
             stream.read_exact(&mut byte).unwrap();
-            got.push(byte[0]);
+            received.push(byte[0]);
         }
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/crates/transport/src/http2/connection.rs
+++ b/crates/transport/src/http2/connection.rs
@@ -15,12 +15,12 @@
 
 /// Maximum size of a response head, and of trailers, in bytes.
 const MAX_HEAD_BYTES: u32 = 64 << 10;
-/// Number of unread bytes that a peer may send on one stream. Bounds the memory that slow readers take.
+/// Number of unread bytes that a peer may send on one stream. The limit bounds the memory that slow readers take.
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 /// Number of unread bytes that a peer may send on all streams of a connection.
 const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
-/// A connection that received nothing for longer than this while an attempt waited is not used for new streams. Its
-/// machine may have become unreachable, which only opening a new connection would show.
+/// A connection that received nothing for longer than this while an attempt waited is not used for new streams. The
+/// upstream's machine may have become unreachable, which only an attempt to open a new connection would show.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
 /// Numbers of open connections and of open streams on them.
@@ -150,11 +150,11 @@
         .map_err(io::Error::other)
 }
 
-/// The lease of one stream on a connection. Dropping it frees the stream's place.
+/// The lease of one stream on a connection. Dropping the lease lets another stream take its place.
 pub(super) struct StreamLease {
     connection: Arc<Http2Connection>,
-    /// Notified when the stream has ended.
-    changed: Arc<Notify>,
+    /// Notified when the lease ends, so that an attempt that waits for a stream tries again.
+    capacity_changed: Arc<Notify>,
     /// Start of the lease, in nanoseconds since the connection was opened.
     leased_at_ns: u64,
     /// The stream has received a response head or data.
@@ -162,14 +162,14 @@
 }
 
 impl StreamLease {
-    /// Leases a stream of a connection. `changed` is notified when the lease ends.
-    pub fn new(connection: Arc<Http2Connection>, changed: Arc<Notify>) -> Self {
+    /// Leases a stream of a connection. `capacity_changed` is notified when the lease ends.
+    pub fn new(connection: Arc<Http2Connection>, capacity_changed: Arc<Notify>) -> Self {
         connection.streams.fetch_add(1, Ordering::Relaxed);
         connection.counts.streams.fetch_add(1, Ordering::Relaxed);
         let leased_at_ns = connection.age_ns();
         Self {
             connection,
-            changed,
+            capacity_changed,
             leased_at_ns,
             has_received: false,
         }
@@ -209,6 +209,6 @@
         connection.idle_since_ns.store(now_ns, Ordering::Relaxed);
         connection.streams.fetch_sub(1, Ordering::Relaxed);
         connection.counts.streams.fetch_sub(1, Ordering::Relaxed);
-        self.changed.notify_one();
+        self.capacity_changed.notify_one();
     }
 }
--- a/crates/transport/src/http2/mod.rs
+++ b/crates/transport/src/http2/mod.rs
@@ -139,7 +139,8 @@
         _: Peer,
         _: Duration,
     ) -> impl Future<Output = (Outcome, Option<LoadReport>)> + Send + 'static {
-        // The platform defines probes for HTTP/1.1 only. The decision module does not wait for a probe without a load report.
+        // The platform defines probes for HTTP/1.1 only. The decision module does not wait for a probe without a load
+        // report.
         std::future::ready((Outcome::Moot, None))
     }
 
--- a/crates/transport/src/http2/pool.rs
+++ b/crates/transport/src/http2/pool.rs
@@ -22,6 +22,7 @@
 
 /// The connections to one process of an upstream.
 struct UpstreamConnections {
+    /// Distinguishes this process from former ones. Attempts that began in another epoch are not given streams.
     epoch: u64,
     connections: Vec<Arc<Http2Connection>>,
     is_connecting: bool,
@@ -29,8 +30,8 @@
     failures: u64,
     /// Outcome for the attempts that waited for the connection that failed last.
     last_failure: Outcome,
-    /// Notified when a stream has ended, or a connection was established or failed.
-    changed: Arc<Notify>,
+    /// Notified when a stream has ended, a connection was established or failed, or the epoch has ended.
+    capacity_changed: Arc<Notify>,
 }
 
 impl UpstreamConnections {
@@ -41,14 +42,14 @@
             is_connecting: false,
             failures: 0,
             last_failure: Outcome::ConnectFailed,
-            changed: Arc::default(),
+            capacity_changed: Arc::default(),
         }
     }
 }
 
 /// What an attempt waits for when no stream is available.
 struct LeaseWait {
-    changed: OwnedNotified,
+    capacity_changed: OwnedNotified,
     /// The upstream's failure count when the wait began.
     failures: u64,
 }
@@ -86,7 +87,7 @@
                 LeaseAttempt::Leased(lease) => return Ok(lease),
                 LeaseAttempt::Retired => return Err(Outcome::Moot),
                 LeaseAttempt::Wait(wait) => {
-                    wait.changed.await;
+                    wait.capacity_changed.await;
                     if let Some(outcome) = self.failure_since(peer.server, epoch, wait.failures) {
                         return Err(outcome);
                     }
@@ -115,11 +116,11 @@
             .iter()
             .filter(|connection| connection.has_capacity(self.limits.max_streams));
         if let Some(connection) = with_capacity.max_by_key(|connection| connection.streams()) {
-            let lease = StreamLease::new(connection.clone(), upstream.changed.clone());
+            let lease = StreamLease::new(connection.clone(), upstream.capacity_changed.clone());
             return LeaseAttempt::Leased(lease);
         }
         let wait = LeaseWait {
-            changed: upstream.changed.clone().notified_owned(),
+            capacity_changed: upstream.capacity_changed.clone().notified_owned(),
             failures: upstream.failures,
         };
         let may_open = upstream.connections.len() < self.limits.max_connections;
@@ -162,7 +163,7 @@
                 upstream.last_failure = outcome;
             }
         }
-        upstream.changed.notify_waiters();
+        upstream.capacity_changed.notify_waiters();
     }
 
     /// Closes the connections to an upstream on which no stream is open.
@@ -179,7 +180,7 @@
     pub fn retire(&self, server: ServerId) {
         if let Some(upstream) = lock(&self.upstreams).remove(&server) {
             // Wakes the attempts that wait for a stream, which then find the epoch ended.
-            upstream.changed.notify_waiters();
+            upstream.capacity_changed.notify_waiters();
         }
     }
 
--- a/crates/transport/src/http2/receive.rs
+++ b/crates/transport/src/http2/receive.rs
@@ -60,12 +60,13 @@
         length: 0,
         is_grpc,
     };
+    // A Trailers-Only response, whose head carries the gRPC status.
     if is_grpc && received.head.status() == StatusCode::OK && body.is_end_stream() {
         return received.complete(None);
     }
-    let early = classify_http(received.head.status(), received.head.headers());
-    if !early.is_final && !is_grpc {
-        return AttemptProgress::Ended(early.outcome.into());
+    let by_head = classify_http(received.head.status(), received.head.headers());
+    if !by_head.is_final && !is_grpc {
+        return AttemptProgress::Ended(by_head.outcome.into());
     }
     match read_body(&mut received, &mut body, &mut stream).await {
         Ok(BodyRead::Complete(trailers)) => received.complete(trailers),
