--- a/crates/tower/src/call_classes.rs
+++ b/crates/tower/src/call_classes.rs
@@ -50,9 +50,10 @@
         methods: &[(String, String)],
     ) -> Result<Self, BuildError> {
         let methods = index_methods(&names, methods)?;
-        let named = settings.classes.clone();
-        settings.classes.extend(named.iter().map(non_idempotent));
-        settings.classes.push(unknown_class(&named));
+        let named_classes = settings.classes.clone();
+        let variants = named_classes.iter().map(non_idempotent);
+        settings.classes.extend(variants);
+        settings.classes.push(unknown_class(&named_classes));
         let deadline = |class: &Class| Duration::from_nanos(class.deadline);
         Ok(Self {
             effects: settings.classes.iter().map(|class| class.effect).collect(),
@@ -142,16 +143,17 @@
 
 /// Returns the class of calls whose class is unknown. It has the longest times and the lowest values of all named
 /// classes, and its calls must not run twice.
-fn unknown_class(named: &[Class]) -> Class {
-    let longest = |time: fn(&Class) -> u64| named.iter().map(time).max().unwrap_or(1);
-    let least = |value: fn(&Class) -> f64| named.iter().map(value).fold(f64::MAX, f64::min);
+fn unknown_class(named_classes: &[Class]) -> Class {
+    let classes = || named_classes.iter();
+    let longest = |time: fn(&Class) -> u64| classes().map(time).max().unwrap_or(1);
+    let lowest = |value: fn(&Class) -> f64| classes().map(value).fold(f64::MAX, f64::min);
     Class {
         latency_target: longest(|class| class.latency_target),
         latency_target_stretch: 0.0,
         deadline: longest(|class| class.deadline),
         effect: Effect::Unsafe,
-        late_value: least(|class| class.late_value),
-        value: least(|class| class.value),
+        late_value: lowest(|class| class.late_value),
+        value: lowest(|class| class.value),
     }
 }
 
--- a/crates/tower/src/call_classes/tests.rs
+++ b/crates/tower/src/call_classes/tests.rs
@@ -58,23 +58,23 @@
     );
     assert_eq!(requirements("/p.P/Look2", &[], None).class, UNKNOWN);
     assert_eq!(requirements("/", &[], None).class, UNKNOWN);
-    let info = |info: CallInfo| requirements("/p.P/Look", &[], Some(info)).class;
+    let class_with = |info: CallInfo| requirements("/p.P/Look", &[], Some(info)).class;
     assert_eq!(
-        info(CallInfo {
+        class_with(CallInfo {
             class: Some("lok".into()),
             ..Default::default()
         }),
         UNKNOWN
     );
     assert_eq!(
-        info(CallInfo {
+        class_with(CallInfo {
             class: Some("post".into()),
             ..Default::default()
         }),
         2
     );
     assert_eq!(
-        info(CallInfo {
+        class_with(CallInfo {
             non_idempotent: true,
             ..Default::default()
         }),
@@ -85,7 +85,7 @@
         key: Some("k".into()),
         ..Default::default()
     };
-    assert_eq!(info(keyed), PAY);
+    assert_eq!(class_with(keyed), PAY);
 }
 
 #[test]
@@ -95,8 +95,11 @@
             timeout: Some(Duration::from_millis(ms)),
             ..Default::default()
         });
-        let found = requirements("/look", headers, info);
-        (found.timeout.as_millis(), found.has_caller_timeout)
+        let requirements = requirements("/look", headers, info);
+        (
+            requirements.timeout.as_millis(),
+            requirements.has_caller_timeout,
+        )
     };
     assert_eq!(
         timeout(&[], None),
@@ -130,12 +133,12 @@
     let text =
         woadstall_mock_servers::http1::config("127.0.0.1:1".parse().unwrap(), &[])["settings"]
             .to_string();
-    let build = |methods: &[(&str, &str)]| {
+    let error_of = |methods: &[(&str, &str)]| {
         let mut settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
         let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
         let methods: Vec<_> = methods
             .iter()
-            .map(|(a, b)| (a.to_string(), b.to_string()))
+            .map(|(path, class)| (path.to_string(), class.to_string()))
             .collect();
         CallClasses::new(&mut settings, names, &methods)
             .err()
@@ -143,11 +146,11 @@
             .to_string()
     };
     assert_eq!(
-        build(&[("/a", "none")]),
+        error_of(&[("/a", "none")]),
         "method /a: the settings have no class \"none\""
     );
     assert_eq!(
-        build(&[("/a", "look"), ("/a", "pay")]),
+        error_of(&[("/a", "look"), ("/a", "pay")]),
         "method /a is listed twice"
     );
 }
--- a/crates/tower/src/parity_tests.rs
+++ b/crates/tower/src/parity_tests.rs
@@ -29,7 +29,7 @@
 
 impl<'a> RandomRun<'a> {
     /// Runs an engine and returns its commands.
-    fn play(engine: Engine<u32, u32>, names: &'a Names, seed: u64) -> Vec<String> {
+    fn run_engine(engine: Engine<u32, u32>, names: &'a Names, seed: u64) -> Vec<String> {
         let mut run = Self {
             engine,
             names,
@@ -39,8 +39,10 @@
             in_flight: Vec::new(),
             commands: Vec::new(),
         };
-        let all: Vec<_> = (0..UPSTREAMS).map(|at| (at, "in_service", 0)).collect();
-        run.apply_list(true, &all);
+        let upstreams: Vec<_> = (0..UPSTREAMS)
+            .map(|number| (number, "in_service", 0))
+            .collect();
+        run.apply_list(true, &upstreams);
         for _ in 0..STEPS {
             run.step();
         }
@@ -49,8 +51,8 @@
 
     fn step(&mut self) {
         self.now += self.rng.u64(..MAX_STEP);
-        while let Some(at) = self.engine.wake_at().filter(|at| *at <= self.now) {
-            self.engine.handle(at, Input::Tick);
+        while let Some(wake_at) = self.engine.wake_at().filter(|time| *time <= self.now) {
+            self.engine.handle(wake_at, Input::Tick);
         }
         match self.rng.u32(..100) {
             0 => self.change_one_upstream(),
@@ -66,15 +68,17 @@
         self.record_commands();
     }
 
-    fn apply_list(&mut self, is_complete: bool, members: &[(usize, &str, u64)]) {
+    /// Applies an endpoint list of these upstreams, each given by its number, state and start time in Unix
+    /// milliseconds.
+    fn apply_list(&mut self, is_complete: bool, upstreams: &[(usize, &str, u64)]) {
         let zones = &self.names.zones;
-        let target = |&(at, state, boot_ms): &(usize, &str, u64)| {
-            serde_json::json!({"uid": format!("s-{at}"), "endpoint": format!("127.0.0.1:{}", 9000 + at),
-                "az": zones[at % zones.len()], "state": state, "boot_ms": boot_ms})
+        let target = |&(number, state, boot_ms): &(usize, &str, u64)| {
+            serde_json::json!({"uid": format!("s-{number}"), "endpoint": format!("127.0.0.1:{}", 9000 + number),
+                "az": zones[number % zones.len()], "state": state, "boot_ms": boot_ms})
         };
-        let targets: Vec<_> = members.iter().map(target).collect();
-        let text = serde_json::json!({"rev": 1, "all": is_complete, "targets": targets});
-        let list: woadstall_discovery::EndpointList = serde_json::from_value(text).unwrap();
+        let targets: Vec<_> = upstreams.iter().map(target).collect();
+        let json = serde_json::json!({"rev": 1, "all": is_complete, "targets": targets});
+        let list: woadstall_discovery::EndpointList = serde_json::from_value(json).unwrap();
         let input = Input::EndpointsListed {
             entries: &list.entries(self.names),
             is_complete,
@@ -157,16 +161,21 @@
             let text = config["settings"].to_string();
             let settings = woadstall_settings::parse_settings(text.as_bytes()).unwrap();
             let names = woadstall_settings::parse_names(text.as_bytes()).unwrap();
-            let mut extended = settings.clone();
+            let mut plugin_settings = settings.clone();
             CallClasses::new(
-                &mut extended,
+                &mut plugin_settings,
                 names.clone(),
                 &[("/p.P/Look".into(), "look".into())],
             )
             .unwrap();
-            assert!(extended.classes.len() > settings.classes.len());
-            let daemon = RandomRun::play(Engine::new(settings, 5, START).unwrap(), &names, seed);
-            let plugin = RandomRun::play(Engine::new(extended, 5, START).unwrap(), &names, seed);
+            assert!(plugin_settings.classes.len() > settings.classes.len());
+            let daemon =
+                RandomRun::run_engine(Engine::new(settings, 5, START).unwrap(), &names, seed);
+            let plugin = RandomRun::run_engine(
+                Engine::new(plugin_settings, 5, START).unwrap(),
+                &names,
+                seed,
+            );
             assert!(daemon.len() > 3000, "{} commands", daemon.len());
             let differs = daemon
                 .iter()
--- a/crates/tower/tests/common/mod.rs
+++ b/crates/tower/tests/common/mod.rs
@@ -19,29 +19,32 @@
 
 /// An entry of an endpoint list: the upstream's uid, address, state and start time in Unix milliseconds.
 #[derive(Clone)]
-pub struct Member<'a>(pub &'a str, pub SocketAddr, pub &'a str, pub u64);
+pub struct ListEntry<'a>(pub &'a str, pub SocketAddr, pub &'a str, pub u64);
 
-/// An endpoint list of these entries: the complete list if `all`, otherwise only the entries that changed.
-pub fn listing(all: bool, members: &[Member<'_>]) -> EndpointList {
-    let targets: Vec<_> = members
+/// An endpoint list of these entries: the complete list if `is_complete`, otherwise only the entries that changed.
+pub fn listing(is_complete: bool, entries: &[ListEntry<'_>]) -> EndpointList {
+    let targets: Vec<_> = entries
         .iter()
-        .map(|Member(uid, address, state, boot_ms)| {
+        .map(|ListEntry(uid, address, state, boot_ms)| {
             serde_json::json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "state": state,
                 "boot_ms": boot_ms})
         })
         .collect();
-    serde_json::from_value(serde_json::json!({"rev": 1, "all": all, "targets": targets})).unwrap()
+    let json = serde_json::json!({"rev": 1, "all": is_complete, "targets": targets});
+    serde_json::from_value(json).unwrap()
 }
 
 /// A complete endpoint list of upstreams in service, named `s-0`, `s-1`, ...
 pub fn in_service(addresses: &[SocketAddr]) -> EndpointList {
-    let names: Vec<String> = (0..addresses.len()).map(|at| format!("s-{at}")).collect();
-    let members: Vec<_> = names
+    let names: Vec<String> = (0..addresses.len())
+        .map(|number| format!("s-{number}"))
+        .collect();
+    let entries: Vec<_> = names
         .iter()
         .zip(addresses)
-        .map(|(name, at)| Member(name, *at, "in_service", 0))
+        .map(|(name, address)| ListEntry(name, *address, "in_service", 0))
         .collect();
-    listing(true, &members)
+    listing(true, &entries)
 }
 
 /// Settings with a safe class (`look`), a keyed class (`pay`) and an unsafe class (`post`), modified by `change`.
@@ -89,41 +92,41 @@
 /// The response of a call as its caller sees it.
 #[derive(Debug, PartialEq)]
 pub struct Outcome {
-    pub http: StatusCode,
+    pub http_status: StatusCode,
     /// The gRPC status, from headers or trailers; `None` if absent.
-    pub status: Option<u32>,
+    pub grpc_status: Option<u32>,
     /// The advised time before a retry, in milliseconds.
-    pub pushback: Option<u64>,
+    pub pushback_ms: Option<u64>,
     pub body: Bytes,
     /// The body ended with an error.
-    pub broken: bool,
+    pub is_broken: bool,
 }
 
 impl Outcome {
     pub fn is_served(&self) -> bool {
-        self.status == Some(0) && !self.broken
+        self.grpc_status == Some(0) && !self.is_broken
     }
 
     /// Whether the plug-in rejected the call, so that a retry is safe.
     pub fn is_rejected(&self) -> bool {
-        self.status == Some(14)
+        self.grpc_status == Some(14)
     }
 
     /// Whether the call failed and may have run. No header advises the client to retry.
     pub fn is_failed(&self) -> bool {
-        self.status == Some(2) && self.pushback.is_none()
+        self.grpc_status == Some(2) && self.pushback_ms.is_none()
     }
 }
 
 pub async fn outcome(response: Response<ResponseBody>) -> Outcome {
     let (head, mut body) = response.into_parts();
-    let (mut data, mut trailers, mut broken) = (Vec::new(), HeaderMap::new(), false);
+    let (mut data, mut trailers, mut is_broken) = (Vec::new(), HeaderMap::new(), false);
     while let Some(frame) = body.frame().await {
         match frame.map(|frame| frame.into_data()) {
             Ok(Ok(chunk)) => data.extend_from_slice(&chunk),
             Ok(Err(frame)) => trailers = frame.into_trailers().unwrap_or_default(),
             Err(_) => {
-                broken = true;
+                is_broken = true;
                 break;
             }
         }
@@ -133,11 +136,11 @@
         value.to_str().ok()?.parse::<u64>().ok()
     };
     Outcome {
-        http: head.status,
-        status: number("grpc-status").map(|status| status as u32),
-        pushback: number("grpc-retry-pushback-ms"),
+        http_status: head.status,
+        grpc_status: number("grpc-status").map(|status| status as u32),
+        pushback_ms: number("grpc-retry-pushback-ms"),
         body: data.into(),
-        broken,
+        is_broken,
     }
 }
 
@@ -145,7 +148,7 @@
     outcome(send(balance, request(path)).await).await
 }
 
-/// Polls a condition that no event announces until it holds.
+/// Polls a condition until it holds, for conditions that no event announces.
 pub async fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds() {
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -39,7 +39,8 @@
     (outcome, upstream.total())
 }
 
-/// Guards against calls failing that the upstream declared as not executed: they are retried, even unsafe ones.
+/// Guards against failures of calls that the upstream declared as not executed: such calls are retried, even unsafe
+/// ones.
 #[tokio::test]
 async fn requests_that_never_ran_are_retried() {
     let full = Reply::Status(14, vec![("x-rejected", "1")]);
@@ -68,7 +69,7 @@
 /// retried. Unsafe calls, and calls of an unknown method, fail without advice to retry.
 #[tokio::test]
 async fn unsafe_requests_that_may_have_run_are_not_retried() {
-    let rows = [
+    let cases = [
         ("unavailable", Reply::Status(14, vec![])),
         (
             "unavailable with pushback",
@@ -82,7 +83,7 @@
         ("http", Reply::Http(500, vec![], Bytes::new())),
         ("plain 503", Reply::Http(503, vec![], Bytes::new())),
     ];
-    for (name, first) in rows {
+    for (name, first) in cases {
         for path in [LOOK, PAY] {
             let (outcome, attempts) = call_with_first_reply(path, first.clone()).await;
             assert!(
@@ -106,7 +107,7 @@
     for status in [1, 2, 3, 5, 6, 7, 8, 9, 10, 11, 12, 13, 15, 16] {
         let (outcome, attempts) =
             call_with_first_reply(LOOK, Reply::Status(status, vec![("x-from", "upstream")])).await;
-        assert_eq!((outcome.status, attempts), (Some(status), 1));
+        assert_eq!((outcome.grpc_status, attempts), (Some(status), 1));
     }
 }
 
@@ -114,28 +115,37 @@
 /// run.
 #[tokio::test]
 async fn streams_on_a_lost_connection_are_not_retried() {
-    let dying = RawHttp2Server::start(30, ScriptedAction::Close);
-    let balance = balance(&[dying.address]);
+    let closing = RawHttp2Server::start(30, ScriptedAction::Close);
+    let balance = balance(&[closing.address]);
     let calls: Vec<_> = (0..30)
         .map(|_| {
             let balance = balance.clone();
             tokio::spawn(async move { call(&balance, POST).await })
         })
         .collect();
-    let sound = GrpcUpstream::start(|_| ok_response()).await;
+    let healthy = GrpcUpstream::start(|_| ok_response()).await;
     // All calls are sent before the other upstream becomes available.
-    tokio::task::spawn_blocking(move || dying.wait_for(29))
+    tokio::task::spawn_blocking(move || closing.wait_for(29))
         .await
         .unwrap();
     balance.update_endpoints(&listing(
         false,
-        &[Member("other", sound.address, "in_service", 0)],
+        &[ListEntry("other", healthy.address, "in_service", 0)],
     ));
     for ended in calls {
         let outcome = ended.await.unwrap();
         assert!(outcome.is_failed(), "{outcome:?}");
     }
-    assert_eq!(sound.total(), 0);
+    assert_eq!(healthy.total(), 0);
+}
+
+/// Waits until `stream_count` more streams have been opened at a server, and returns the server.
+async fn wait_for_streams(server: RawHttp2Server, stream_count: usize) -> RawHttp2Server {
+    let wait = move || {
+        server.wait_for(stream_count);
+        server
+    };
+    tokio::task::spawn_blocking(wait).await.unwrap()
 }
 
 /// GOAWAY's last stream id separates streams that may have been processed from streams that were not (RFC 9113, section
@@ -155,32 +165,27 @@
             tokio::spawn(async move { call(&balance, POST).await })
         })
         .collect();
-    let draining = tokio::task::spawn_blocking(move || (draining.wait_for(29), draining).1)
-        .await
-        .unwrap();
-    let sound = GrpcUpstream::start(|_| ok_response()).await;
-    let members = [
-        ("s-0", draining.address, "terminating"),
-        ("other", sound.address, "in_service"),
+    let draining = wait_for_streams(draining, 29).await;
+    let healthy = GrpcUpstream::start(|_| ok_response()).await;
+    let entries = [
+        ListEntry("s-0", draining.address, "terminating", 0),
+        ListEntry("other", healthy.address, "in_service", 0),
     ];
-    let members = members.map(|(name, address, state)| Member(name, address, state, 0));
     // The thirtieth stream triggers the GOAWAY. It is opened on the same connection before the upstream is listed as
     // draining.
-    let last = {
+    let thirtieth = {
         let balance = balance.clone();
         tokio::spawn(async move { call(&balance, POST).await })
     };
-    let draining = tokio::task::spawn_blocking(move || (draining.wait_for(1), draining).1)
-        .await
-        .unwrap();
-    balance.update_endpoints(&listing(false, &members));
+    let draining = wait_for_streams(draining, 1).await;
+    balance.update_endpoints(&listing(false, &entries));
     let (mut served, mut failed) = (0, 0);
-    for ended in calls.into_iter().chain([last]) {
+    for ended in calls.into_iter().chain([thirtieth]) {
         let outcome = ended.await.unwrap();
         served += usize::from(outcome.is_served());
         failed += usize::from(outcome.is_failed());
     }
-    assert_eq!((served, failed, sound.total()), (10, 20, 10));
+    assert_eq!((served, failed, healthy.total()), (10, 20, 10));
     drop(draining);
 }
 
@@ -206,16 +211,16 @@
     // Ten calls are sent; forty wait because of MAX_CONCURRENT_STREAMS.
     wait_until("ten calls are in flight", || draining.in_flight() == 10).await;
     wait_until("fifty calls are open", || balance.open_calls() == 50).await;
-    let sound = GrpcUpstream::start(|_| ok_response()).await;
+    let healthy = GrpcUpstream::start(|_| ok_response()).await;
     balance.update_endpoints(&listing(
         false,
         &[
-            Member("s-0", draining.address, "terminating", 0),
-            Member("other", sound.address, "in_service", 0),
+            ListEntry("s-0", draining.address, "terminating", 0),
+            ListEntry("other", healthy.address, "in_service", 0),
         ],
     ));
     wait_until("the other upstream has received forty calls", || {
-        sound.total() == 40
+        healthy.total() == 40
     })
     .await;
     assert_eq!(
@@ -230,7 +235,7 @@
         assert!(outcome.is_served(), "{outcome:?}");
     }
     assert_eq!(
-        (draining.total(), sound.total(), draining.connections()),
+        (draining.total(), healthy.total(), draining.connections()),
         (10, 40, 1)
     );
     // The connection closes after its last stream.
@@ -291,10 +296,10 @@
         "{}",
         first.time_left_ms()
     );
-    let spent = first.time_left_ms() - second.time_left_ms();
+    let spent_ms = first.time_left_ms() - second.time_left_ms();
     assert!(
-        (300..5_000).contains(&spent),
-        "{spent} ms passed between the attempts"
+        (300..5_000).contains(&spent_ms),
+        "{spent_ms} ms passed between the attempts"
     );
     let budget: f64 = second.headers["x-budget"]
         .to_str()
@@ -310,11 +315,11 @@
     let upstream = GrpcUpstream::start(|_| ok_response()).await;
     let balance = balance(&[upstream.address]);
     assert!(call(&balance, LOOK).await.is_served());
-    for time in ["0n", "0S", "0m"] {
+    for timeout in ["0n", "0S", "0m"] {
         let mut request = request(POST);
         request
             .headers_mut()
-            .insert("grpc-timeout", time.parse().unwrap());
+            .insert("grpc-timeout", timeout.parse().unwrap());
         let outcome = outcome(send(&balance, request).await).await;
         assert!(outcome.is_rejected(), "{outcome:?}");
     }
@@ -371,7 +376,7 @@
     let balance = balance(&[upstream.address]);
     let outcome = call(&balance, LOOK).await;
     assert!(
-        outcome.broken && outcome.body == message(b"one"),
+        outcome.is_broken && outcome.body == message(b"one"),
         "{outcome:?}"
     );
     assert_eq!((upstream.total(), balance.open_calls()), (1, 0));
@@ -430,7 +435,7 @@
         .insert("grpc-timeout", "200m".parse().unwrap());
     let outcome = outcome(send(&balance, request).await).await;
     assert!(
-        outcome.broken && outcome.body == message(b"x"),
+        outcome.is_broken && outcome.body == message(b"x"),
         "{outcome:?}"
     );
     wait_until("the stream is reset", || upstream.in_flight() == 0).await;
@@ -440,7 +445,7 @@
 /// call is rejected, and an unsafe call fails because it may have run.
 #[tokio::test]
 async fn headers_without_trailers_time_out() {
-    for (path, rejected) in [(LOOK, true), (POST, false)] {
+    for (path, is_rejected) in [(LOOK, true), (POST, false)] {
         let upstream = GrpcUpstream::start(|_| Reply::HeadersOnly).await;
         let balance = balance(&[upstream.address]);
         let mut request = request(path);
@@ -450,7 +455,7 @@
         let outcome = outcome(send(&balance, request).await).await;
         assert_eq!(
             (outcome.is_rejected(), outcome.is_failed()),
-            (rejected, !rejected),
+            (is_rejected, !is_rejected),
             "{outcome:?}"
         );
     }
@@ -483,14 +488,14 @@
         "a large body is sent completely"
     );
     // A body of two frames, the second of which arrives later.
-    let parts = futures_util::stream::unfold(0, |at| async move {
-        if at == 1 {
+    let frames = futures_util::stream::unfold(0, |number| async move {
+        if number == 1 {
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
         let frame = http_body::Frame::data(message(b"part"));
-        (at < 2).then_some((Ok::<_, std::convert::Infallible>(frame), at + 1))
+        (number < 2).then_some((Ok::<_, std::convert::Infallible>(frame), number + 1))
     });
-    let streamed = request(POST).map(|_| StreamBody::new(Box::pin(parts)));
+    let streamed = request(POST).map(|_| StreamBody::new(Box::pin(frames)));
     assert!(outcome(send(&balance, streamed).await).await.is_rejected());
     assert_eq!(upstream.total(), attempts + 2);
     assert_eq!(
@@ -515,16 +520,17 @@
     wait_until("calls are in flight", || upstream.in_flight() > 0).await;
     std::thread::sleep(Duration::from_millis(200)); // blocks the whole runtime, including the upstream
     for call in calls.drain(..10) {
-        assert_eq!(outcome(call.await.unwrap().unwrap()).await.status, Some(0));
+        let outcome = outcome(call.await.unwrap().unwrap()).await;
+        assert_eq!(outcome.grpc_status, Some(0));
     }
     drop(calls);
     let mut open = upstream.open_connections();
-    // The last clone is dropped while calls are open, and their futures after it.
-    let orphans: Vec<_> = (0..5)
+    // The last clone is dropped while calls are open, and after it the futures of calls that were never polled.
+    let unpolled_calls: Vec<_> = (0..5)
         .map(|_| balance.clone().call(request(POST)))
         .collect();
     drop(balance);
-    drop(orphans);
+    drop(unpolled_calls);
     let total = upstream.total();
     tokio::time::timeout(TEST_TIMEOUT, open.wait_for(|open| *open == 0))
         .await
@@ -542,7 +548,7 @@
     assert_eq!(upstream.next_call().await.connection, 0);
     balance.update_endpoints(&listing(
         false,
-        &[Member(
+        &[ListEntry(
             "s-0",
             upstream.address,
             "in_service",
@@ -553,7 +559,8 @@
     assert_eq!(upstream.next_call().await.connection, 1);
 }
 
-/// Guards against calls failing that never reached an upstream: they are rejected, with advice on when to retry.
+/// Guards against failures of calls that never reached an upstream: such calls are rejected, with advice on when to
+/// retry.
 #[tokio::test]
 async fn unreachable_upstream_means_rejection_with_pushback() {
     let settings = settings(|settings| settings["Limits"]["RetryAfter"] = true.into());
@@ -564,13 +571,13 @@
         .unwrap();
     let outcome = call(&balance, POST).await;
     assert!(
-        outcome.is_rejected() && outcome.pushback.is_some_and(|ms| ms > 0),
+        outcome.is_rejected() && outcome.pushback_ms.is_some_and(|ms| ms > 0),
         "{outcome:?}"
     );
-    let plain = Request::post("/post")
+    let http_request = Request::post("/post")
         .body(Full::new(Bytes::new()))
         .unwrap();
-    let response = send(&balance, plain).await;
+    let response = send(&balance, http_request).await;
     assert_eq!(response.status(), 503);
     assert!(
         response.headers()["retry-after"]
--- a/crates/tower/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -35,7 +35,8 @@
     (address, reporter)
 }
 
-fn health(upstreams: &[SocketAddr]) -> Balance {
+/// Builds a plug-in that treats the health service's methods as safe.
+fn health_balance(upstreams: &[SocketAddr]) -> Balance {
     let builder = builder(&settings(|_| {}))
         .method(CHECK, "look")
         .method(WATCH, "look");
@@ -52,9 +53,9 @@
 }
 
 async fn call_through_a_generated_client() {
-    let (one, reporter) = tonic_server().await;
-    let (two, _other) = tonic_server().await;
-    let balance = health(&[one, two]);
+    let (first_server, reporter) = tonic_server().await;
+    let (second_server, _second_reporter) = tonic_server().await;
+    let balance = health_balance(&[first_server, second_server]);
     let mut client = HealthClient::new(balance.clone());
     for _ in 0..20 {
         let response = client
@@ -78,7 +79,7 @@
         (error.code(), error.message()),
         (Code::NotFound, "service not registered")
     );
-    // Concurrent calls through clones in many tasks.
+    // Clones of a client may make calls concurrently in many tasks.
     let calls: Vec<_> = (0..200)
         .map(|_| {
             let mut client = client.clone();
@@ -89,7 +90,7 @@
         call.await.unwrap().unwrap();
     }
     // Server streaming: a change while the stream is open is forwarded at once, and dropping the stream ends the call.
-    let balance = health(&[one]);
+    let balance = health_balance(&[first_server]);
     let mut client = HealthClient::new(balance.clone());
     let mut watch = client
         .watch(check_request("posting"))
@@ -124,7 +125,7 @@
 #[tokio::test]
 async fn rejections_and_failures_are_grpc_statuses() {
     let refused = woadstall_mock_servers::http1::refused_address();
-    let error = HealthClient::new(health(&[refused]))
+    let error = HealthClient::new(health_balance(&[refused]))
         .check(check_request(""))
         .await
         .unwrap_err();
@@ -146,7 +147,7 @@
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
     let mut request = tonic::Request::new(check_request(""));
     request.set_timeout(std::time::Duration::from_millis(150));
-    let error = HealthClient::new(health(&[upstream.address]))
+    let error = HealthClient::new(health_balance(&[upstream.address]))
         .check(request)
         .await
         .unwrap_err();
@@ -166,7 +167,7 @@
 #[tokio::test]
 async fn message_over_the_limit_ends_its_stream() {
     let upstream = GrpcUpstream::start(|_| Reply::Ok(Bytes::from(vec![0; 300_000]))).await;
-    let balance = health(&[upstream.address]);
+    let balance = health_balance(&[upstream.address]);
     let mut client = HealthClient::new(balance.clone()).max_decoding_message_size(100_000);
     let error = client.check(check_request("")).await.unwrap_err();
     assert_eq!((error.code(), upstream.total()), (Code::OutOfRange, 1));
