--- a/crates/load-test/src/callers.rs
+++ b/crates/load-test/src/callers.rs
@@ -118,8 +118,9 @@
         self.start.elapsed().as_nanos() as u64
     }
 
-    fn instant(&self, at: u64) -> tokio::time::Instant {
-        (self.start + Duration::from_nanos(at)).into()
+    /// Converts a time in nanoseconds since `start`.
+    fn instant(&self, since_start_ns: u64) -> tokio::time::Instant {
+        (self.start + Duration::from_nanos(since_start_ns)).into()
     }
 
     /// Runs all groups until the end of the scenario, and waits for the last calls.
@@ -144,43 +145,43 @@
         let mut arrival_rng = stream(self.seed, Actor::Arrivals, group as u32);
         let mut behavior_rng = stream(self.seed, Actor::CallerBehavior, group as u32);
         let load = &self.scenario.callers[group].load;
-        let (max_rate, mut at, mut calls) = (load.max_rate(), 0_u64, JoinSet::new());
+        let (max_rate, mut arrival_ns, mut calls) = (load.max_rate(), 0_u64, JoinSet::new());
         if max_rate <= 0.0 {
             return;
         }
         loop {
-            at = at.saturating_add(exponential_gap(&mut arrival_rng, max_rate));
-            if at >= self.scenario.duration.0 {
+            arrival_ns = arrival_ns.saturating_add(exponential_gap(&mut arrival_rng, max_rate));
+            if arrival_ns >= self.scenario.duration.0 {
                 break;
             }
             // Thinning (Lewis and Shedler, 1979): arrivals are drawn at the highest rate, and each is kept with the
             // probability current rate / highest rate.
-            if !chance(&mut arrival_rng, load.rate(at) / max_rate) {
+            if !chance(&mut arrival_rng, load.rate(arrival_ns) / max_rate) {
                 continue;
             }
-            sleep_until(self.instant(at)).await;
+            sleep_until(self.instant(arrival_ns)).await;
             let seed = behavior_rng.random();
-            calls.spawn(self.clone().call(group, at, seed));
+            calls.spawn(self.clone().call(group, arrival_ns, seed));
             while calls.try_join_next().is_some() {}
         }
         while calls.join_next().await.is_some() {}
     }
 
-    /// Runs one closed-loop caller, which makes a call, waits for the response and pauses for `think` nanoseconds on
-    /// average.
-    async fn closed_loop(self: Arc<Self>, group: usize, caller: u32, think: u64) {
+    /// Runs one closed-loop caller, which makes a call, waits for the response and pauses for `mean_pause_ns`
+    /// nanoseconds on average.
+    async fn closed_loop(self: Arc<Self>, group: usize, caller: u32, mean_pause_ns: u64) {
         let mut behavior_rng = stream(
             self.seed,
             Actor::CallerBehavior,
             (group as u32) << 16 | caller,
         );
-        let initial_delay_ns = (behavior_rng.random::<f64>() * think as f64) as u64;
+        let initial_delay_ns = (behavior_rng.random::<f64>() * mean_pause_ns as f64) as u64;
         sleep(Duration::from_nanos(initial_delay_ns)).await;
         while self.now() < self.scenario.duration.0 {
             let seed = behavior_rng.random();
             self.clone().call(group, self.now(), seed).await;
-            let pause = exponential_gap(&mut behavior_rng, 1e9 / think.max(1) as f64);
-            sleep(Duration::from_nanos(pause)).await;
+            let pause_ns = exponential_gap(&mut behavior_rng, 1e9 / mean_pause_ns.max(1) as f64);
+            sleep(Duration::from_nanos(pause_ns)).await;
         }
     }
 }
--- a/crates/load-test/src/callers/attempt.rs
+++ b/crates/load-test/src/callers/attempt.rs
@@ -50,26 +50,26 @@
 }
 
 impl Callers {
-    /// Makes one attempt of a call with the time budget `left`. The random number `draw` selects the transport, the
+    /// Makes one attempt of a call with the time budget `time_left`. The random number `draw` selects the transport, the
     /// zone and the balancer.
     pub(super) async fn attempt(
         &self,
         call: &Call,
         attempt: u32,
-        left: Duration,
+        time_left: Duration,
         draw: u64,
     ) -> AttemptResult {
         let id = format!("{:010x}-{attempt}", call.number);
-        let request = self.request(call, &id, attempt, left);
-        let sent = Instant::now();
+        let request = self.request(call, &id, attempt, time_left);
+        let sent_at = Instant::now();
         let zone = self.zone_of(call.group, draw);
         let sent_attempt = match self.transport_for(draw) {
             Transport::Daemons(daemons) => {
-                self.send_to_daemon(daemons, call, request, zone, left, draw >> 1)
+                self.send_to_daemon(daemons, call, request, zone, time_left, draw >> 1)
                     .await
             }
             Transport::Plugins(plugins) => {
-                self.send_to_plugin(plugins, call, request, zone, left, draw >> 1)
+                self.send_to_plugin(plugins, call, request, zone, time_left, draw >> 1)
                     .await
             }
             Transport::Both(..) => None, // `Both` holds single transports only
@@ -79,8 +79,8 @@
         };
         self.rules.record_response(CallerObservation {
             request: &id,
-            sent,
-            left,
+            sent_at,
+            time_left,
             answered: attempt.result.is_some(),
             daemon: attempt.daemon,
         });
@@ -99,12 +99,12 @@
     }
 
     /// Returns a request builder with the headers of an attempt.
-    fn request(&self, call: &Call, id: &str, attempt: u32, left: Duration) -> Builder {
+    fn request(&self, call: &Call, id: &str, attempt: u32, time_left: Duration) -> Builder {
         let class = &self.scenario.class[call.class];
         let mut request = Request::builder()
             .header(headers::CALL_ID, id)
             .header(headers::CALL_CLASS, &class.name)
-            .header(headers::BUDGET, format!("{:.6}", left.as_secs_f64()));
+            .header(headers::BUDGET, format!("{:.6}", time_left.as_secs_f64()));
         if let Some(tenant) = &self.scenario.callers[call.group].tenant {
             request = request.header(headers::TENANT, tenant);
         }
@@ -126,7 +126,7 @@
                     second
                 }
             }
-            only => only,
+            single => single,
         }
     }
 
@@ -145,7 +145,7 @@
         call: &Call,
         request: Builder,
         zone: u8,
-        left: Duration,
+        time_left: Duration,
         draw: u64,
     ) -> Option<SentAttempt> {
         let zones = self.scenario.zones.len();
@@ -161,7 +161,11 @@
             .uri(format!("http://{}/{}", daemon.address, class.name))
             .body(Full::new(Bytes::new()))
             .ok()?;
-        let response = timeout(left + RESPONSE_GRACE_PERIOD, self.request_daemon(request)).await;
+        let response = timeout(
+            time_left + RESPONSE_GRACE_PERIOD,
+            self.request_daemon(request),
+        )
+        .await;
         Some(SentAttempt {
             transport: "daemon",
             daemon: Some(daemon.address),
@@ -175,7 +179,7 @@
         call: &Call,
         request: Builder,
         zone: u8,
-        left: Duration,
+        time_left: Duration,
         draw: u64,
     ) -> Option<SentAttempt> {
         let zones = self.scenario.zones.len();
@@ -188,7 +192,7 @@
             .body(Full::new(message(b"work")))
             .ok()?;
         let response = request_plugin(balance.clone(), request);
-        let response = timeout(left + RESPONSE_GRACE_PERIOD, response).await;
+        let response = timeout(time_left + RESPONSE_GRACE_PERIOD, response).await;
         Some(SentAttempt {
             transport: "plug-in",
             daemon: None,
--- a/crates/load-test/src/callers/call.rs
+++ b/crates/load-test/src/callers/call.rs
@@ -34,7 +34,7 @@
     pub(super) async fn call(self: Arc<Self>, group: usize, due: u64, seed: u64) {
         self.record_lateness(due);
         let mut rng = stream(seed, Actor::CallerBehavior, 0);
-        let callers = &self.scenario.callers[group];
+        let caller_group = &self.scenario.callers[group];
         let class = by_weight(&self.mixes[group], rng.random::<f64>()).unwrap_or(0);
         let call = Call {
             group,
@@ -49,15 +49,15 @@
         let outcome = loop {
             attempts += 1;
             lock(&self.meter).request_sent();
-            let left = Duration::from_nanos(call.deadline.saturating_sub(self.now()));
+            let time_left = Duration::from_nanos(call.deadline.saturating_sub(self.now()));
             let draw = rng.random::<u64>();
-            let result = self.attempt(&call, attempts, left, draw).await;
+            let result = self.attempt(&call, attempts, time_left, draw).await;
             let ended = self.now();
             if matches!(result, AttemptResult::Served) {
                 break self.served_outcome(&call, ended);
             }
-            let backoff = callers.retries.delay(attempts, || rng.random::<f64>());
-            let honors_retry_after = chance(&mut rng, callers.honors_retry_after);
+            let backoff = caller_group.retries.delay(attempts, || rng.random::<f64>());
+            let honors_retry_after = chance(&mut rng, caller_group.honors_retry_after);
             let retry_after_ns = match result {
                 AttemptResult::Rejected { retry_after_ns } if honors_retry_after => retry_after_ns,
                 _ => 0,
--- a/crates/load-test/src/callers/endpoint.rs
+++ b/crates/load-test/src/callers/endpoint.rs
@@ -41,18 +41,18 @@
     }
 }
 
-/// Chooses an item of `zone`, or of the next zone with any items. The lower 32 bits of the random number `draw` select
+/// Chooses an item of `zone`, or of the next of the `zone_count` zones with any items. The lower 32 bits of the random number `draw` select
 /// the item within the zone.
 pub fn choose_in_zone<T>(
-    all: &[T],
-    zones: usize,
+    items: &[T],
+    zone_count: usize,
     zone: u8,
     draw: u64,
     zone_of: impl Fn(&T) -> Option<u8>,
 ) -> Option<&T> {
-    (0..zones).find_map(|step| {
-        let zone = (usize::from(zone) + step) % zones;
-        let in_zone: Vec<&T> = all
+    (0..zone_count).find_map(|step| {
+        let zone = (usize::from(zone) + step) % zone_count;
+        let in_zone: Vec<&T> = items
             .iter()
             .filter(|item| zone_of(item).map(usize::from) == Some(zone))
             .collect();
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -153,7 +153,7 @@
         sample(&mut rng, &candidates, fault.part)
     }
 
-    /// Waits for the begin of a fault, applies the fault, and reverts it at its end.
+    /// Waits for the start of a fault, applies the fault, and reverts it at its end.
     async fn run_fault(self: Arc<Self>, index: usize) {
         let fault = &self.scenario.fault[index];
         let targets = self.draw_targets(index);
@@ -189,14 +189,14 @@
         }
     }
 
-    /// Drains and restarts upstreams, with the begins spread evenly over the first half of the fault.
+    /// Drains and restarts upstreams. Their drains start at times spread evenly over the first half of the fault.
     async fn roll(self: &Arc<Self>, fault: &Fault, targets: &[u32]) {
         let mut restarts = JoinSet::new();
         for (index, &upstream) in targets.iter().enumerate() {
             let fleet = self.clone();
-            let begin = self.schedule.slot_begin(fault, 2, index, targets.len());
+            let drain_start = self.schedule.slot_begin(fault, 2, index, targets.len());
             restarts.spawn(async move {
-                fleet.schedule.wait_until(begin).await;
+                fleet.schedule.wait_until(drain_start).await;
                 fleet.set_listed_state(upstream, TERMINATING);
                 fleet.schedule.drain().await;
                 fleet.upstreams[upstream as usize].kill();
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -94,16 +94,16 @@
 }
 
 fn exit_code(end: &RunResult, lag: &Lag) -> u8 {
-    let is_broken = end.breach_count() > 0;
+    let has_breaches = end.breach_count() > 0;
     if lag.late as f64 > MAX_LATE_CALL_FRACTION * lag.calls as f64 {
         let (late, calls, worst_ms) = (lag.late, lag.calls, lag.worst_ms);
         warn!(
             late,
             calls, worst_ms, "the load generator was the bottleneck: lower the rate, or free cores"
         );
-        return if is_broken { RULE_BROKEN } else { TOO_SLOW };
+        return if has_breaches { RULE_BROKEN } else { TOO_SLOW };
     }
-    if is_broken { RULE_BROKEN } else { 0 }
+    if has_breaches { RULE_BROKEN } else { 0 }
 }
 
 fn print_summary(end: &RunResult, lag: &Lag) {
--- a/crates/load-test/src/rule_checker.rs
+++ b/crates/load-test/src/rule_checker.rs
@@ -1,4 +1,4 @@
-//! Checks the four rules from the requests and responses that callers and upstreams observe.
+//! Checks rules 1 to 4 (see [`Rule`]) from the requests and responses that callers and upstreams observe.
 
 use crate::lock;
 use std::collections::{BTreeMap, HashMap};
@@ -26,7 +26,7 @@
 struct Suspension {
     daemon: SocketAddr,
     /// Time at which the process was resumed; `None` while the process is suspended.
-    until: Option<Instant>,
+    resumed_at: Option<Instant>,
 }
 
 /// The idempotency key of an executed request.
@@ -46,9 +46,9 @@
     /// Id of the request.
     pub request: &'a str,
     /// Time at which the request was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// Time budget of the request when sent.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether any response arrived.
     pub answered: bool,
     /// Address of the daemon; `None` for a request through a plug-in.
@@ -58,8 +58,8 @@
 #[derive(Default)]
 struct State {
     requests: HashMap<String, RequestRecord>,
-    /// Time of the last request for each key and group of upstreams.
-    keys: HashMap<(String, u32), Instant>,
+    /// Time of the last execution for each key and group of upstreams.
+    last_executions: HashMap<(String, u32), Instant>,
     overdue_at_suspended: u64,
     unanswered: u64,
     ran_twice: u64,
@@ -69,12 +69,13 @@
 }
 
 impl State {
-    fn breach(&mut self, at: Duration, rule: Rule, text: String) {
+    /// Counts a breach at a time since the start of the callers, and keeps the text of the first breaches.
+    fn record_breach(&mut self, elapsed: Duration, rule: Rule, text: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.breaches.len() < MAX_REPORTED_BREACHES {
             self.breaches.push(Breach {
                 rule,
-                at: at.as_nanos() as u64,
+                at: elapsed.as_nanos() as u64,
                 call: None,
                 text,
             });
@@ -105,10 +106,12 @@
         effect: CallEffect,
         key: Option<ExecutionKey<'_>>,
     ) {
-        let (at, mut state) = (self.start.elapsed(), lock(&self.state));
+        let (elapsed, mut state) = (self.start.elapsed(), lock(&self.state));
         if let Some(key) = key {
             let now = Instant::now();
-            let last = state.keys.insert((key.key.to_owned(), key.group), now);
+            let last = state
+                .last_executions
+                .insert((key.key.to_owned(), key.group), now);
             if last.is_some_and(|last| now < last + key.window) {
                 return;
             }
@@ -122,21 +125,21 @@
         }
         if executions > 1 {
             let text = format!("{request} had its effect {executions} times");
-            state.breach(at, Rule::NoEffectTwice, text);
+            state.record_breach(elapsed, Rule::NoEffectTwice, text);
         } else if rejected {
             let text = format!("{request} ran behind a refusal");
-            state.breach(at, Rule::NoEffectTwice, text);
+            state.record_breach(elapsed, Rule::NoEffectTwice, text);
         }
     }
 
     /// Records that a caller's request was rejected.
     pub fn record_rejection(&self, request: &str, effect: CallEffect) {
-        let (at, mut state) = (self.start.elapsed(), lock(&self.state));
+        let (elapsed, mut state) = (self.start.elapsed(), lock(&self.state));
         let record = state.requests.entry(request.to_owned()).or_default();
         record.rejected = true;
         if record.executions > 0 && effect != CallEffect::Safe {
             let text = format!("{request} was refused, though it has run");
-            state.breach(at, Rule::NoEffectTwice, text);
+            state.record_breach(elapsed, Rule::NoEffectTwice, text);
         }
     }
 
@@ -145,13 +148,15 @@
     pub fn set_suspended(&self, daemon: SocketAddr, suspended: bool) {
         let mut state = lock(&self.state);
         if suspended {
-            let until = None;
-            state.suspensions.push(Suspension { daemon, until });
+            state.suspensions.push(Suspension {
+                daemon,
+                resumed_at: None,
+            });
             return;
         }
         for suspension in &mut state.suspensions {
             if suspension.daemon == daemon {
-                suspension.until.get_or_insert_with(Instant::now);
+                suspension.resumed_at.get_or_insert_with(Instant::now);
             }
         }
     }
@@ -160,12 +165,12 @@
     pub fn record_response(&self, observation: CallerObservation<'_>) {
         let CallerObservation {
             request,
-            sent,
-            left,
+            sent_at,
+            time_left,
             answered,
             daemon,
         } = observation;
-        let lateness = sent.elapsed().saturating_sub(left);
+        let lateness = sent_at.elapsed().saturating_sub(time_left);
         if lateness <= RESPONSE_GRACE && answered {
             return;
         }
@@ -175,8 +180,8 @@
         let excuses = |suspension: &Suspension| {
             Some(suspension.daemon) == daemon
                 && suspension
-                    .until
-                    .is_none_or(|until| sent < until + RESPONSE_GRACE)
+                    .resumed_at
+                    .is_none_or(|resumed_at| sent_at < resumed_at + RESPONSE_GRACE)
         };
         if state.suspensions.iter().any(excuses) {
             state.overdue_at_suspended += 1;
@@ -191,7 +196,7 @@
             "{request} {outcome} {} ms past its time",
             lateness.as_millis()
         );
-        state.breach(self.start.elapsed(), Rule::OneAnswer, text);
+        state.record_breach(self.start.elapsed(), Rule::OneAnswer, text);
     }
 
     /// Returns the number of requests without a timely response because their daemon's process was suspended.
@@ -209,22 +214,23 @@
         lock(&self.state).ran_twice
     }
 
-    /// Records a request that reached an upstream `since` after the drain notification.
-    pub fn record_request_while_draining(&self, upstream: &str, since: Duration) {
-        if since > DRAIN_GRACE {
+    /// Records a request that reached a draining upstream. `since_notification` is the time since the balancers were
+    /// notified of the draining.
+    pub fn record_request_while_draining(&self, upstream: &str, since_notification: Duration) {
+        if since_notification > DRAIN_GRACE {
             let text = format!(
                 "{upstream} got a request {:.3} s after it was told to drain",
-                since.as_secs_f64()
+                since_notification.as_secs_f64()
             );
-            lock(&self.state).breach(self.start.elapsed(), Rule::Drained, text);
+            lock(&self.state).record_breach(self.start.elapsed(), Rule::Drained, text);
         }
     }
 
-    /// Records the overload of a warming upstream. `share` is the received load relative to the load that crashes the
-    /// upstream.
-    pub fn record_overload(&self, upstream: &str, share: f64) {
-        let text = format!("{upstream} was sent {share:.2} of what pushes it over");
-        lock(&self.state).breach(self.start.elapsed(), Rule::Cold, text);
+    /// Records the overload of a warming upstream. `load_fraction` is the received load relative to the load that
+    /// crashes the upstream.
+    pub fn record_overload(&self, upstream: &str, load_fraction: f64) {
+        let text = format!("{upstream} was sent {load_fraction:.2} of what pushes it over");
+        lock(&self.state).record_breach(self.start.elapsed(), Rule::Cold, text);
     }
 
     /// Returns the number of breaches of each rule in the order of [`Rule::ALL`], and the first breaches with their
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -33,7 +33,7 @@
         sleep_until((self.start + Duration::from_nanos(at)).into()).await;
     }
 
-    /// Waits for the begin of a fault. A fault that begins at 0 does not wait for `start`, so that the fault is active
+    /// Waits for the start of a fault. A fault that starts at 0 does not wait for `start`, so that the fault is active
     /// before the first call.
     pub async fn fault_begin(&self, fault: &Fault) {
         if fault.at.0 > 0 {
@@ -55,7 +55,7 @@
         fault.until.unwrap_or(self.scenario.duration).0 - fault.at.0
     }
 
-    /// Waits until discovery has detected the processes killed at the begin of a fault, or until the fault ends.
+    /// Waits until discovery has detected the processes killed at the start of a fault, or until the fault ends.
     pub async fn fault_noticed(&self, fault: &Fault) {
         let notice_delay = self
             .scenario
@@ -66,7 +66,7 @@
         self.wait_until(fault.at.0 + notice_delay).await;
     }
 
-    /// Returns the begin of slot `index` in nanoseconds, where `count` equal slots divide the first `1/part` of a
+    /// Returns the start of slot `index` in nanoseconds since the callers' start, where `count` equal slots divide the first `1/part` of a
     /// fault.
     pub fn slot_begin(&self, fault: &Fault, part: u64, index: usize, count: usize) -> u64 {
         fault.at.0 + self.length(fault) / part * index as u64 / count as u64
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -39,11 +39,11 @@
 
 fn settings(scenario: &Scenario, placement: &BalancerPlacement) -> Value {
     let (tier, limits) = (&scenario.tier[placement.tier], &scenario.limits);
-    let polled = scenario.registry.queries.as_ref();
-    let poll_within = polled.map_or(0, |polled| polled.within.0);
+    let queries = scenario.registry.queries.as_ref();
+    let notified_within_ns = queries.map_or(0, |queries| queries.within.0);
     json!({
         "Classes": scenario.class.iter().map(class_settings).collect::<Vec<_>>(),
-        "Discovery": if polled.is_some() { "ask" } else { "push" },
+        "Discovery": if queries.is_some() { "ask" } else { "push" },
         "Layer": scenario.depth(placement.tier),
         "Siblings": scenario.balancer_count(placement.tier),
         "Limits": {
@@ -59,7 +59,7 @@
             "StartCapacity": tier.start_capacity,
             "TipMultiple": tier.overload_multiple,
             "RampTimeNs": tier.slow_start_window.0,
-            "AskWithinNs": poll_within,
+            "AskWithinNs": notified_within_ns,
         },
         "Tenants": scenario.tenant.iter().map(tenant_settings).collect::<Vec<_>>(),
         "ValueBy": "request",
--- a/crates/load-test/src/upstream.rs
+++ b/crates/load-test/src/upstream.rs
@@ -118,11 +118,11 @@
         state.drained_since = drained_since.map(|since| state.drained_since.unwrap_or(since));
     }
 
-    /// Moves the time of the drain notification to `then` if it is later, since starting balancers are notified only
-    /// then.
-    pub fn delay_drain_notification(&self, then: Instant) {
+    /// Moves the time of the drain notification to `notified_at` if that is later. A balancer that starts while the
+    /// upstream drains is notified only when it starts.
+    pub fn delay_drain_notification(&self, notified_at: Instant) {
         let mut state = lock(&self.state);
-        state.drained_since = state.drained_since.map(|since| since.max(then));
+        state.drained_since = state.drained_since.map(|since| since.max(notified_at));
     }
 
     /// Suspends or resumes the simulated process. While suspended, connections stay open and requests wait.
@@ -211,8 +211,8 @@
             FaultKind::Slow(factor) => faults.slowdown = pick(*factor, healthy.slowdown),
             FaultKind::Errors { share, class } => {
                 faults.errors.clear();
-                let only = class.as_ref().and_then(|name| self.scenario.class(name));
-                faults.errors.extend(active.then_some((*share, only)));
+                let only_class = class.as_ref().and_then(|name| self.scenario.class(name));
+                faults.errors.extend(active.then_some((*share, only_class)));
             }
             FaultKind::ResponseLoss(share) => faults.lost = pick(*share, healthy.lost),
             FaultKind::Resets(share) => faults.resets = pick(*share, healthy.resets),
--- a/crates/load-test/src/upstream/next_tier.rs
+++ b/crates/load-test/src/upstream/next_tier.rs
@@ -19,7 +19,7 @@
 use woadstall_emulator::{CallEffect, chance};
 
 /// Number of the next call by any upstream of this process, which makes call ids unique.
-static CALL_NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_CALL_NUMBER: AtomicU64 = AtomicU64::new(0);
 /// The largest accepted time budget of a request, in seconds.
 const MAX_BUDGET_S: f64 = 3600.0;
 
@@ -31,10 +31,12 @@
     pub balancers: Vec<BalancerEndpoint>,
 }
 
-/// The random draw for the calls that one request makes to the next tier.
-struct Calls {
+/// The calls that one request makes to the next tier.
+struct CallPlan {
+    /// Zone whose balancers the calls prefer.
     zone: u8,
     count: u32,
+    /// Random number that selects the balancers.
     draw: u64,
 }
 
@@ -50,9 +52,9 @@
         let Some(next_tier) = self.next_tier.get() else {
             return true;
         };
-        let left = self.time_left(class, headers, received);
+        let time_left = self.time_left(class, headers, received);
         let calls = self.draw_calls(next_tier);
-        if left.is_zero() {
+        if time_left.is_zero() {
             return calls.count == 0;
         }
         let zones = self.scenario.zones.len();
@@ -70,13 +72,13 @@
             let Some(balancer) = balancer else {
                 return false;
             };
-            let Some(request) = self.next_tier_request(class, headers, number, balancer, left)
+            let Some(request) = self.next_tier_request(class, headers, number, balancer, time_left)
             else {
                 return false;
             };
             let response = client().request(request);
             responses.spawn(async move {
-                let response = timeout(left, response).await.ok()?.ok()?;
+                let response = timeout(time_left, response).await.ok()?.ok()?;
                 let status = response.status();
                 response.into_body().collect().await.ok()?;
                 (status == StatusCode::OK).then_some(())
@@ -98,13 +100,13 @@
         budget.saturating_sub(received.elapsed())
     }
 
-    fn draw_calls(&self, next_tier: &NextTier) -> Calls {
+    fn draw_calls(&self, next_tier: &NextTier) -> CallPlan {
         let mut state = lock(&self.state);
         let mean = next_tier.mean_calls;
-        let one_more = chance(&mut state.model.rng, mean.fract());
-        Calls {
+        let has_extra_call = chance(&mut state.model.rng, mean.fract());
+        CallPlan {
             zone: state.model.zone,
-            count: mean.floor() as u32 + u32::from(one_more),
+            count: mean.floor() as u32 + u32::from(has_extra_call),
             draw: state.model.rng.random::<u64>(),
         }
     }
@@ -115,10 +117,10 @@
         headers: &HeaderMap,
         number: u32,
         balancer: &BalancerEndpoint,
-        left: Duration,
+        time_left: Duration,
     ) -> Option<Request<Full<Bytes>>> {
         let class = &self.scenario.class[class];
-        let id = format!("{:x}-n", CALL_NUMBER.fetch_add(1, Ordering::Relaxed));
+        let id = format!("{:x}-n", NEXT_CALL_NUMBER.fetch_add(1, Ordering::Relaxed));
         let method = if class.effect == CallEffect::Safe {
             Method::GET
         } else {
@@ -129,7 +131,7 @@
             .uri(format!("http://{}/{}", balancer.address, class.name))
             .header(headers::CALL_ID, id)
             .header(headers::CALL_CLASS, &class.name)
-            .header(headers::BUDGET, format!("{:.6}", left.as_secs_f64()));
+            .header(headers::BUDGET, format!("{:.6}", time_left.as_secs_f64()));
         let key = headers::text(headers, headers::IDEMPOTENCY_KEY);
         if let Some(key) = key.filter(|_| class.effect == CallEffect::Keyed) {
             // The derived key does not depend on the upstream, so that a retry of the request on another upstream of
--- a/crates/load-test/src/upstream/requests.rs
+++ b/crates/load-test/src/upstream/requests.rs
@@ -43,14 +43,14 @@
         let received = Instant::now();
         let (head, body) = request.into_parts();
         let content_type = headers::text(&head.headers, "content-type");
-        let grpc = content_type.is_some_and(|kind| kind.starts_with("application/grpc"));
+        let is_grpc = content_type.is_some_and(|kind| kind.starts_with("application/grpc"));
         let class = self.class_of(&head);
         body.collect().await.map_err(|_| ConnectionAborted)?;
         let (number, started) = match self.admit(class) {
             Admission::Aborted => return Err(ConnectionAborted),
             Admission::Ignored => return std::future::pending().await,
-            Admission::Error => return Ok(failure(grpc, FailureKind::Error)),
-            Admission::Rejected => return Ok(failure(grpc, FailureKind::Rejected)),
+            Admission::Error => return Ok(failure(is_grpc, FailureKind::Error)),
+            Admission::Rejected => return Ok(failure(is_grpc, FailureKind::Rejected)),
             Admission::Started { number } => (number, None),
             Admission::Queued { number, started } => (number, Some(started)),
         };
@@ -58,12 +58,12 @@
         let slot = WorkerSlot::new(&self, number, started.is_none());
         let all_served = self.work(slot, started, class, &head, received).await?;
         self.record_execution(class, &head);
-        let (lost, reset) = self.draw_response_faults();
-        match (lost, reset) {
+        let (is_lost, is_reset) = self.draw_response_faults();
+        match (is_lost, is_reset) {
             (true, _) => std::future::pending().await,
             (false, true) => Err(ConnectionAborted),
-            (false, false) if !all_served => Ok(failure(grpc, FailureKind::Error)),
-            (false, false) => Ok(success(grpc)),
+            (false, false) if !all_served => Ok(failure(is_grpc, FailureKind::Error)),
+            (false, false) => Ok(success(is_grpc)),
         }
     }
 
@@ -85,15 +85,15 @@
         }
         let mean_service_ns = self.scenario.class[class].service.mean();
         let warm_rate = f64::from(state.model.workers()) * 1e9 / mean_service_ns;
-        if let Some(share) = state.model.count_cold_arrival(now, warm_rate) {
+        if let Some(load_fraction) = state.model.count_cold_arrival(now, warm_rate) {
             if !std::mem::replace(&mut state.model.overloaded, true) {
-                self.rules.record_overload(&state.model.name, share);
+                self.rules.record_overload(&state.model.name, load_fraction);
             }
             return Admission::Aborted;
         }
         // Half of the connection resets happen before the work, the other half after the work.
-        let resets = state.model.active_faults.resets / 2.0;
-        if chance(&mut state.model.rng, resets) {
+        let reset_probability = state.model.active_faults.resets / 2.0;
+        if chance(&mut state.model.rng, reset_probability) {
             return Admission::Aborted;
         }
         if state.model.active_faults.unresponsive {
@@ -172,13 +172,13 @@
     /// Draws whether the response is lost, and whether the connection is reset.
     fn draw_response_faults(&self) -> (bool, bool) {
         let mut state = lock(&self.state);
-        let (lost, resets) = (
+        let (loss_probability, reset_probability) = (
             state.model.active_faults.lost,
             state.model.active_faults.resets / 2.0,
         );
-        let lost = chance(&mut state.model.rng, lost);
-        let reset = chance(&mut state.model.rng, resets);
-        (lost, reset)
+        let is_lost = chance(&mut state.model.rng, loss_probability);
+        let is_reset = chance(&mut state.model.rng, reset_probability);
+        (is_lost, is_reset)
     }
 }
 
--- a/crates/load-test/src/upstream/responses.rs
+++ b/crates/load-test/src/upstream/responses.rs
@@ -31,8 +31,8 @@
 const GRPC_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/grpc");
 
 /// Returns the response to a served request.
-pub fn success(grpc: bool) -> Response<Body> {
-    if !grpc {
+pub fn success(is_grpc: bool) -> Response<Body> {
+    if !is_grpc {
         return Response::new(Full::new(Bytes::from_static(b"done")).boxed_unsync());
     }
     let status = (
@@ -49,13 +49,13 @@
 }
 
 /// Returns the response to a request that was not served.
-pub fn failure(grpc: bool, kind: FailureKind) -> Response<Body> {
+pub fn failure(is_grpc: bool, kind: FailureKind) -> Response<Body> {
     let mut response = Response::new(Full::default().boxed_unsync());
     let (grpc_status, http_status) = match kind {
         FailureKind::Error => (GRPC_UNKNOWN, StatusCode::INTERNAL_SERVER_ERROR),
         FailureKind::Rejected => (GRPC_UNAVAILABLE, StatusCode::SERVICE_UNAVAILABLE),
     };
-    if grpc {
+    if is_grpc {
         let headers = response.headers_mut();
         headers.insert("content-type", GRPC_CONTENT_TYPE);
         headers.insert("grpc-status", HeaderValue::from_static(grpc_status));
