--- a/crates/load-test/src/error.rs
+++ b/crates/load-test/src/error.rs
@@ -11,7 +11,7 @@
     #[error(transparent)]
     Unsupported(#[from] UnsupportedScenario),
     /// An upstream could not listen.
-    #[error("nodos: {0}")]
+    #[error("cannot start the nodos: {0}")]
     StartUpstreams(#[source] io::Error),
     /// The configuration of a daemon is invalid, or the daemon could not start.
     #[error("{0}")]
@@ -20,7 +20,7 @@
     #[error(transparent)]
     DaemonRuntime(io::Error),
     /// The thread of a daemon ended before it reported its address.
-    #[error("a daemon did not start")]
+    #[error("the thread of a daemon ended before the daemon started")]
     DaemonThreadEnded,
     /// The initial endpoint list of a plug-in is invalid.
     #[error(transparent)]
--- a/crates/load-test/src/supported.rs
+++ b/crates/load-test/src/supported.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnsupportedScenario {
     /// The scenario has more than one tier.
-    #[error("`tier`: one only on sockets")]
+    #[error("`tier`: only one tier is supported on sockets")]
     SeveralTiers,
     /// The scenario has too many upstreams or balancers.
     #[error("`tier`: at most {MAX_UPSTREAMS} nodos and {MAX_BALANCERS} balancers on sockets")]
@@ -31,7 +31,9 @@
         kind: &'static str,
     },
     /// Only the emulator and the cluster test support the fault.
-    #[error("fault {number}: stopped nodos, power and links are for the lab and the rig")]
+    #[error(
+        "fault {number}: suspended nodos, power loss and link faults are for the lab and the rig alone"
+    )]
     ClusterFault {
         /// Position of the fault in the scenario, counted from 1.
         number: usize,
