--- a/crates/benchmarks/src/callers.rs
+++ b/crates/benchmarks/src/callers.rs
@@ -76,7 +76,7 @@
     clients: &Clients,
     method: CallMethod,
     load: CallerLoad,
-    warm_until: Instant,
+    warm_up_end: Instant,
     until: Instant,
 ) -> Vec<JoinHandle<CallLog>> {
     let interval = load.interval();
@@ -88,7 +88,7 @@
             .mul_f64(task as f64 / load.tasks as f64);
         tasks.push(tokio::spawn(async move {
             tokio::time::sleep(offset).await;
-            let (client, _) = call_until(client, warm_until, interval).await;
+            let (client, _) = call_until(client, warm_up_end, interval).await;
             call_until(client, until, interval).await.1
         }));
     }
@@ -102,10 +102,10 @@
     upstreams: &[SocketAddr],
 ) -> Result<Measurement, BenchmarkError> {
     let clients = Clients::connect(upstreams).await?;
-    let warm_until = Instant::now() + WARM_UP;
-    let until = warm_until + length;
-    let tasks = spawn_tasks(&clients, method, load, warm_until, until);
-    tokio::time::sleep_until(warm_until).await;
+    let warm_up_end = Instant::now() + WARM_UP;
+    let until = warm_up_end + length;
+    let tasks = spawn_tasks(&clients, method, load, warm_up_end, until);
+    tokio::time::sleep_until(warm_up_end).await;
     let (own_id, started) = (std::process::id(), Instant::now());
     let cpu_before = cpu_time(own_id);
     tokio::time::sleep_until(until).await;
@@ -140,8 +140,8 @@
         .worker_threads(load.threads)
         .enable_all()
         .build()?;
-    let figures = runtime.block_on(measure(length, method, load, upstreams))?;
-    println!("{}", figures.to_json());
+    let measurement = runtime.block_on(measure(length, method, load, upstreams))?;
+    println!("{}", measurement.to_json());
     Ok(())
 }
 
--- a/crates/benchmarks/src/clients.rs
+++ b/crates/benchmarks/src/clients.rs
@@ -31,7 +31,7 @@
     Direct,
     /// `tower::balance::p2c` by pending requests, shared through a buffer as tonic's channel does.
     P2c,
-    /// The same, one for each task: no view of what the others have out.
+    /// `tower::balance::p2c` with a balancer for each task, which does not see the pending requests of other tasks.
     P2cEach,
     /// The plug-in.
     Plugin,
--- a/crates/benchmarks/src/daemon.rs
+++ b/crates/benchmarks/src/daemon.rs
@@ -24,7 +24,7 @@
 const FIRST_MEASURED_CALLER: usize = 0x1000;
 
 /// The largest accepted response, in bytes.
-const MAX_RESPONSE: usize = 1024;
+const MAX_RESPONSE_BYTES: usize = 1024;
 
 /// Latencies and failures of a caller's calls.
 #[derive(Default)]
@@ -62,7 +62,7 @@
     let mut tcp = TcpStream::connect(address).await?;
     set_nodelay(&tcp);
     let (mut log, mut number) = (CallLog::default(), 0_u32);
-    let mut response = vec![0; MAX_RESPONSE];
+    let mut response = vec![0; MAX_RESPONSE_BYTES];
     while Instant::now() < until {
         number += 1;
         let request = format!(
@@ -80,8 +80,8 @@
     Ok(log)
 }
 
-/// Reads one response, and returns whether the response is the upstream's. Responses fit into the buffer, and
-/// successful responses end with the upstream's body.
+/// Reads one response, and returns whether it is the upstream's, which ends with the upstream's body and fits into the
+/// buffer.
 async fn read_response(tcp: &mut TcpStream, buffer: &mut [u8]) -> Result<bool, std::io::Error> {
     let mut length = 0;
     while !buffer[..length].ends_with(RESPONSE_BODY) {
@@ -96,11 +96,11 @@
 
 fn spawn_callers(
     address: SocketAddr,
-    first: usize,
+    first_caller: usize,
     count: usize,
     until: Instant,
 ) -> Vec<JoinHandle<Result<CallLog, std::io::Error>>> {
-    (first..first + count)
+    (first_caller..first_caller + count)
         .map(|caller| tokio::spawn(call_until(address, caller, until)))
         .collect()
 }
@@ -110,8 +110,8 @@
     callers: usize,
     length: Duration,
 ) -> Result<Measurement, BenchmarkError> {
-    let warm_until = Instant::now() + WARM_UP;
-    for caller in spawn_callers(peer.address, 0, callers, warm_until) {
+    let warm_up_end = Instant::now() + WARM_UP;
+    for caller in spawn_callers(peer.address, 0, callers, warm_up_end) {
         caller.await??;
     }
     let (started, cpu_before) = (Instant::now(), cpu_time(peer.id()));
@@ -141,7 +141,7 @@
     let upstream = PeerProcess::start_self(&["upstream".into()])?;
     let proxy = PeerProcess::start_self(&["proxy".into(), upstream.address.to_string()])?;
     let peers = [
-        ("proxy without decisions", proxy),
+        ("proxy", proxy),
         ("daemon before", start_daemon(before, upstream.address)?),
         ("daemon after", start_daemon(after, upstream.address)?),
     ];
@@ -157,18 +157,18 @@
             }
         }
         println!(
-            "\n{callers} callers, as many requests as can be, 1 upstream\n{}",
+            "\n{callers} callers, unlimited rate, 1 upstream\n{}",
             table_header()
         );
         let medians = rounds.map(|rounds| Measurement::median(&rounds));
         for ((name, _), median) in peers.iter().zip(&medians) {
             println!("{}", median.table_row(name));
         }
-        let [floor, before, after] = &medians;
+        let [proxy, before, after] = &medians;
         println!(
-            "CPU over the floor: before {:.2}, after {:.2}",
-            before.cpu_us / floor.cpu_us,
-            after.cpu_us / floor.cpu_us
+            "CPU relative to the proxy: before {:.2}, after {:.2}",
+            before.cpu_us / proxy.cpu_us,
+            after.cpu_us / proxy.cpu_us
         );
     }
     Ok(())
--- a/crates/benchmarks/src/direct.rs
+++ b/crates/benchmarks/src/direct.rs
@@ -14,7 +14,7 @@
 
 /// Error of a call that did not end with a response.
 #[derive(Debug, thiserror::Error)]
-#[error("the call did not end with its answer")]
+#[error("the call ended without a complete response")]
 pub struct CallFailed;
 
 /// A client with one HTTP/2 connection, which clones share.
--- a/crates/benchmarks/src/error.rs
+++ b/crates/benchmarks/src/error.rs
@@ -10,7 +10,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The first line of a peer's output does not end with the peer's address, or the peer ended without output.
-    #[error("no address in {line:?}")]
+    #[error("the first line of a peer's output has no listen address: {line:?}")]
     NoAddress {
         /// The first line of the peer's output.
         line: String,
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -32,12 +32,14 @@
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(about = "Measures woadstall against plain peers, side by side in one run")]
+#[command(
+    about = "Benchmarks the daemon and the plug-in against baseline peers, in alternating rounds"
+)]
 struct Arguments {
     /// Length of a round, in milliseconds.
     #[arg(long, global = true, default_value_t = 2_000, value_parser = clap::value_parser!(u64).range(100..=60_000))]
     round: u64,
-    /// Rounds of each.
+    /// Number of rounds of each peer or call method.
     #[arg(long, global = true, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=50))]
     rounds: u64,
     #[command(subcommand)]
@@ -46,40 +48,40 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The plug-in against p2c and a direct call.
+    /// Compare a call through the plug-in with p2c and a direct call.
     Plugin,
-    /// Two builds of the daemon against a proxy that decides nothing.
+    /// Compare two builds of the daemon with a proxy without load balancing.
     Daemon {
-        /// The program as it was.
+        /// Program of the first build.
         before: PathBuf,
-        /// The program as it is.
+        /// Program of the second build.
         after: PathBuf,
     },
-    /// 1, 4 and 16 tasks on one plug-in.
+    /// Measure 1, 4 and 16 tasks that share one plug-in.
     Contention,
-    /// What a call holds while it waits.
+    /// Measure the memory of a call in flight.
     Memory,
-    /// An upstream that answers at once (a peer of the other commands).
+    /// Run an upstream that responds immediately (started by the other commands).
     #[command(hide = true)]
     Upstream,
-    /// A proxy that decides nothing (a peer of the other commands).
+    /// Run a proxy without load balancing (started by the other commands).
     #[command(hide = true)]
     Proxy {
-        /// Where it sends everything.
+        /// Address to which the proxy sends all requests.
         upstream: std::net::SocketAddr,
     },
-    /// A caller of upstreams (a peer of the other commands).
+    /// Run a load generator (started by the other commands).
     #[command(hide = true)]
     Caller {
-        /// How it calls.
-        by: CallMethod,
-        /// Its tasks.
+        /// Method by which the calls are made.
+        method: CallMethod,
+        /// Number of tasks; each task makes one call at a time.
         tasks: usize,
-        /// Its worker threads.
+        /// Number of worker threads.
         threads: usize,
-        /// Calls a second in all; 0 for as many as can be.
+        /// Total number of calls per second; 0 for no limit.
         rate: u64,
-        /// Whom it calls.
+        /// Addresses of the upstreams.
         upstreams: Vec<std::net::SocketAddr>,
     },
 }
@@ -97,7 +99,7 @@
         Command::Upstream => servers::run_upstream(),
         Command::Proxy { upstream } => servers::run_proxy(upstream),
         Command::Caller {
-            by,
+            method,
             tasks,
             threads,
             rate,
@@ -108,7 +110,7 @@
                 threads,
                 rate,
             };
-            callers::run(plan.length, by, load, &upstreams)
+            callers::run(plan.length, method, load, &upstreams)
         }
     }
 }
--- a/crates/benchmarks/src/memory.rs
+++ b/crates/benchmarks/src/memory.rs
@@ -43,14 +43,14 @@
     let mut plugin_calls = Vec::with_capacity(CALLS);
     let direct = DirectClient::connect(upstream.address).await?;
     let mut direct_calls = Vec::with_capacity(CALLS);
-    let without_calls = resident_memory(own_id);
+    let bytes_without_calls = resident_memory(own_id);
     for _ in 0..CALLS {
         direct_calls.push(tokio::spawn(direct.clone().send(request())));
     }
     while upstream.in_flight() < CALLS {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let with_direct = resident_memory(own_id);
+    let bytes_with_direct = resident_memory(own_id);
     for _ in 0..CALLS {
         let mut plugin = plugin.clone();
         plugin_calls.push(tokio::spawn(async move {
@@ -61,23 +61,37 @@
     while upstream.in_flight() < 2 * CALLS && started.elapsed() < ARRIVAL_TIMEOUT {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let with_plugin = resident_memory(own_id);
-    let arrived = upstream.in_flight().saturating_sub(CALLS).max(1);
-    print_bytes_per_call(without_calls, with_direct, with_plugin, arrived);
+    let bytes_with_plugin = resident_memory(own_id);
+    let plugin_calls_in_flight = upstream.in_flight().saturating_sub(CALLS).max(1);
+    print_bytes_per_call(
+        bytes_without_calls,
+        bytes_with_direct,
+        bytes_with_plugin,
+        plugin_calls_in_flight,
+    );
     plugin_calls.iter().for_each(|call| call.abort());
     direct_calls.iter().for_each(|call| call.abort());
     Ok(())
 }
 
-fn print_bytes_per_call(without_calls: u64, with_direct: u64, with_plugin: u64, arrived: usize) {
-    let per_call = |from: u64, to: u64, calls: usize| to.saturating_sub(from) / calls as u64;
-    println!("a held call, with the stand-in's share of it, in one process:");
+/// Prints the growth of the resident memory per call, first by the direct calls and then by the plug-in's calls.
+fn print_bytes_per_call(
+    bytes_without_calls: u64,
+    bytes_with_direct: u64,
+    bytes_with_plugin: u64,
+    plugin_calls: usize,
+) {
+    let per_call =
+        |before: u64, after: u64, calls: usize| after.saturating_sub(before) / calls as u64;
+    println!(
+        "memory of a call in flight, including the mock upstream's share in the same process:"
+    );
     println!(
         "direct  {:>6} bytes ({CALLS} calls)",
-        per_call(without_calls, with_direct, CALLS)
+        per_call(bytes_without_calls, bytes_with_direct, CALLS)
     );
     println!(
-        "plug-in {:>6} bytes ({arrived} calls)",
-        per_call(with_direct, with_plugin, arrived)
+        "plug-in {:>6} bytes ({plugin_calls} calls)",
+        per_call(bytes_with_direct, bytes_with_plugin, plugin_calls)
     );
 }
--- a/crates/benchmarks/src/plugin.rs
+++ b/crates/benchmarks/src/plugin.rs
@@ -24,7 +24,7 @@
         let load_name = if rate > 0 {
             format!("{rate} calls/s")
         } else {
-            "as many as can be".to_owned()
+            "unlimited rate".to_owned()
         };
         println!(
             "\n{tasks} callers, {load_name}, 2 threads, 2 upstreams\n{}",
