--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -18,7 +18,8 @@
 
 use serde::Deserialize;
 
-/// Maximum size of the file in bytes. Bounds the memory that is used when a path mistakenly names another file.
+/// Maximum size of the file in bytes. The limit bounds the memory that is used when a path mistakenly names another
+/// file.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 /// Maximum length of the name of a member, zone or region, in bytes.
 const MAX_NAME_BYTES: usize = 64;
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -42,7 +42,8 @@
     #[serde(rename = "patience_ms", default = "default_probe_timeout_ms")]
     pub probe_timeout_ms: u64,
     /// Minimum time for which an unresponsive member is suspected before it is declared dead, in milliseconds: 1 to
-    /// 3,600,000, and at least one period; 6000 by default. Must exceed the pauses that a healthy member may make.
+    /// 3,600,000, and at least one period; 6000 by default. The timeout must exceed the pauses of a healthy member's
+    /// process, which would otherwise be declared dead.
     #[serde(rename = "suspicion_ms", default = "default_suspicion_timeout_ms")]
     pub suspicion_timeout_ms: u64,
 }
