--- a/crates/cluster-test/src/faults.rs
+++ b/crates/cluster-test/src/faults.rs
@@ -110,7 +110,7 @@
     /// Waits until a fault is due, applies it, and reverts it at its end.
     async fn run_fault(self: Arc<Self>, index: usize) -> Result<(), ClusterError> {
         let fault = self.scenario.fault[index].clone();
-        self.schedule.fault_begin(&fault).await;
+        self.schedule.wait_for_fault_start(&fault).await;
         let targets = self.draw_targets(index);
         lock(&self.active_faults)[index] = Some(targets.clone());
         tracing::debug!(
@@ -143,14 +143,14 @@
             | FaultKind::Link(_)
             | FaultKind::MemberLink(_) => {
                 self.update_links();
-                self.schedule.fault_end(&fault).await;
+                self.schedule.wait_for_fault_end(&fault).await;
                 lock(&self.active_faults)[index] = None;
                 self.update_links();
                 Ok(())
             }
             _ => {
                 self.set_fault(&fault.kind, &targets, true);
-                self.schedule.fault_end(&fault).await;
+                self.schedule.wait_for_fault_end(&fault).await;
                 self.set_fault(&fault.kind, &targets, false);
                 Ok(())
             }
@@ -200,11 +200,11 @@
     /// Sets the listed state of killed upstreams to `GONE` after discovery's detection delay, then waits for the end of
     /// the fault.
     async fn mark_gone_until_end(&self, fault: &Fault, index: usize, targets: &FaultTargets) {
-        self.schedule.fault_noticed(fault).await;
+        self.schedule.wait_for_fault_detection(fault).await;
         for &upstream in &targets.upstreams {
             self.set_listed_state(upstream, GONE);
         }
-        self.schedule.fault_end(fault).await;
+        self.schedule.wait_for_fault_end(fault).await;
         lock(&self.active_faults)[index] = None;
     }
 
@@ -219,7 +219,7 @@
             self.kill_balancer(balancer);
         }
         self.damage_files(&targets.balancers, files)?;
-        self.schedule.fault_end(fault).await;
+        self.schedule.wait_for_fault_end(fault).await;
         self.start_balancers(&targets.balancers, staleness).await
     }
 
--- a/crates/cluster-test/src/faults/rolling.rs
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -25,11 +25,11 @@
         let count = targets.upstreams.len();
         for (index, &upstream) in targets.upstreams.iter().enumerate() {
             let fleet = self.clone();
-            let begins = self.schedule.slot_begin(fault, 2, index, count);
+            let begins = self.schedule.slot_start(fault, 2, index, count);
             restarts.spawn(async move {
                 fleet.schedule.wait_until(begins).await;
                 fleet.set_listed_state(upstream, TERMINATING);
-                fleet.schedule.drain().await;
+                fleet.schedule.wait_for_drain().await;
                 fleet.kill_upstream(upstream);
                 sleep(ROLL_DOWNTIME).await;
                 fleet.restart_upstream(upstream).await
@@ -48,7 +48,7 @@
         let count = targets.balancers.len();
         for (index, &number) in targets.balancers.iter().enumerate() {
             let fleet = self.clone();
-            let begins = self.schedule.slot_begin(fault, 1, index, count);
+            let begins = self.schedule.slot_start(fault, 1, index, count);
             restarts.spawn(async move {
                 fleet.schedule.wait_until(begins).await;
                 let longest_call = Duration::from_nanos(fleet.scenario.longest_deadline().0);
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -157,13 +157,13 @@
     async fn run_fault(self: Arc<Self>, index: usize) {
         let fault = &self.scenario.fault[index];
         let targets = self.draw_targets(index);
-        self.schedule.fault_begin(fault).await;
+        self.schedule.wait_for_fault_start(fault).await;
         match &fault.kind {
             FaultKind::Kill { .. } => self.kill_until_fault_end(fault, &targets).await,
             FaultKind::Roll => self.roll(fault, &targets).await,
             kind => {
                 self.set_fault(kind, &targets, true);
-                self.schedule.fault_end(fault).await;
+                self.schedule.wait_for_fault_end(fault).await;
                 self.set_fault(kind, &targets, false);
             }
         }
@@ -179,11 +179,11 @@
         for &upstream in targets {
             self.upstreams[upstream as usize].kill();
         }
-        self.schedule.fault_noticed(fault).await;
+        self.schedule.wait_for_fault_detection(fault).await;
         for &upstream in targets {
             self.set_listed_state(upstream, GONE);
         }
-        self.schedule.fault_end(fault).await;
+        self.schedule.wait_for_fault_end(fault).await;
         for &upstream in targets {
             self.restart(upstream).await;
         }
@@ -194,11 +194,11 @@
         let mut restarts = JoinSet::new();
         for (index, &upstream) in targets.iter().enumerate() {
             let fleet = self.clone();
-            let drain_start = self.schedule.slot_begin(fault, 2, index, targets.len());
+            let drain_start = self.schedule.slot_start(fault, 2, index, targets.len());
             restarts.spawn(async move {
                 fleet.schedule.wait_until(drain_start).await;
                 fleet.set_listed_state(upstream, TERMINATING);
-                fleet.schedule.drain().await;
+                fleet.schedule.wait_for_drain().await;
                 fleet.upstreams[upstream as usize].kill();
                 sleep(ROLL_DOWNTIME).await;
                 fleet.restart(upstream).await;
--- a/crates/load-test/src/schedule.rs
+++ b/crates/load-test/src/schedule.rs
@@ -35,7 +35,7 @@
 
     /// Waits for the start of a fault. A fault that starts at 0 does not wait for `start`, so that the fault is active
     /// before the first call.
-    pub async fn fault_begin(&self, fault: &Fault) {
+    pub async fn wait_for_fault_start(&self, fault: &Fault) {
         if fault.at.0 > 0 {
             self.wait_until(fault.at.0).await;
         }
@@ -43,7 +43,7 @@
 
     /// Waits for the end of a fault. A fault without an end stays active after the last call, so that requests still
     /// open are not served.
-    pub async fn fault_end(&self, fault: &Fault) {
+    pub async fn wait_for_fault_end(&self, fault: &Fault) {
         match fault.until {
             Some(until) => self.wait_until(until.0).await,
             None => std::future::pending().await,
@@ -56,24 +56,24 @@
     }
 
     /// Waits until discovery has detected the processes killed at the start of a fault, or until the fault ends.
-    pub async fn fault_noticed(&self, fault: &Fault) {
-        let notice_delay = self
+    pub async fn wait_for_fault_detection(&self, fault: &Fault) {
+        let detection_delay = self
             .scenario
             .registry
             .detection_delay
             .0
             .min(self.length(fault));
-        self.wait_until(fault.at.0 + notice_delay).await;
+        self.wait_until(fault.at.0 + detection_delay).await;
     }
 
-    /// Returns the start of slot `index` in nanoseconds since the callers' start, where `count` equal slots divide the first `1/part` of a
-    /// fault.
-    pub fn slot_begin(&self, fault: &Fault, part: u64, index: usize, count: usize) -> u64 {
-        fault.at.0 + self.length(fault) / part * index as u64 / count as u64
+    /// Returns the start of slot `index` in nanoseconds since the callers' start, where `count` equal slots divide the
+    /// first `1/divisor` of a fault.
+    pub fn slot_start(&self, fault: &Fault, divisor: u64, index: usize, count: usize) -> u64 {
+        fault.at.0 + self.length(fault) / divisor * index as u64 / count as u64
     }
 
     /// Waits for the time that a draining upstream has to finish its requests.
-    pub async fn drain(&self) {
+    pub async fn wait_for_drain(&self) {
         sleep(Duration::from_nanos(self.scenario.longest_deadline().0) + DRAIN_MARGIN).await;
     }
 }
