--- a/crates/load-test/src/callers/endpoint.rs
+++ b/crates/load-test/src/callers/endpoint.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Chooses an item of `zone`, or of the next of the `zone_count` zones with any items. The lower 32 bits of the random number `draw` select
-/// the item within the zone.
+/// Chooses an item of `zone`, or of the next of the `zone_count` zones with any items. The lower 32 bits of the random
+/// number `draw` select the item within the zone.
 pub fn choose_in_zone<T>(
     items: &[T],
     zone_count: usize,
--- a/crates/mock-servers/src/grpc.rs
+++ b/crates/mock-servers/src/grpc.rs
@@ -161,7 +161,7 @@
     }
 
     /// The number of calls received so far.
-    pub fn total(&self) -> usize {
+    pub fn received_calls(&self) -> usize {
         self.shared.received_calls.load(Ordering::Relaxed)
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The number of connections accepted so far.
-    pub fn connections(&self) -> u32 {
+    pub fn accepted_connections(&self) -> u32 {
         self.shared.accepted_connections.load(Ordering::Relaxed)
     }
 
--- a/crates/tower/tests/grpc.rs
+++ b/crates/tower/tests/grpc.rs
@@ -36,7 +36,7 @@
     let balance = balance(&[upstream.address]);
     let outcome = call(&balance, path).await;
     wait_until("no call is open", || balance.open_calls() == 0).await;
-    (outcome, upstream.total())
+    (outcome, upstream.received_calls())
 }
 
 /// Guards against failures of calls that the upstream declared as not executed: such calls are retried, even unsafe
@@ -136,7 +136,7 @@
         let outcome = ended.await.unwrap();
         assert!(outcome.is_failed(), "{outcome:?}");
     }
-    assert_eq!(healthy.total(), 0);
+    assert_eq!(healthy.received_calls(), 0);
 }
 
 /// Waits until `stream_count` more streams have been opened at a server, and returns the server.
@@ -185,7 +185,7 @@
         served += usize::from(outcome.is_served());
         failed += usize::from(outcome.is_failed());
     }
-    assert_eq!((served, failed, healthy.total()), (10, 20, 10));
+    assert_eq!((served, failed, healthy.received_calls()), (10, 20, 10));
     drop(draining);
 }
 
@@ -220,11 +220,11 @@
         ],
     ));
     wait_until("the other upstream has received forty calls", || {
-        healthy.total() == 40
+        healthy.received_calls() == 40
     })
     .await;
     assert_eq!(
-        draining.total(),
+        draining.received_calls(),
         10,
         "a draining upstream receives no new call"
     );
@@ -235,7 +235,11 @@
         assert!(outcome.is_served(), "{outcome:?}");
     }
     assert_eq!(
-        (draining.total(), healthy.total(), draining.connections()),
+        (
+            draining.received_calls(),
+            healthy.received_calls(),
+            draining.accepted_connections()
+        ),
         (10, 40, 1)
     );
     // The connection closes after its last stream.
@@ -265,7 +269,7 @@
     }
     notify.notify_one();
     assert!(pending.await.unwrap().is_served());
-    assert_eq!(upstream.total(), 21);
+    assert_eq!(upstream.received_calls(), 21);
 }
 
 /// Guards against a retry carrying the original timeout: each attempt carries the time left when it is sent.
@@ -323,7 +327,7 @@
         let outcome = outcome(send(&balance, request).await).await;
         assert!(outcome.is_rejected(), "{outcome:?}");
     }
-    assert_eq!(upstream.total(), 1);
+    assert_eq!(upstream.received_calls(), 1);
 }
 
 /// Guards against calls that outlive the request on whose behalf they are made.
@@ -362,7 +366,7 @@
     wait_until("all calls are in flight", || upstream.in_flight() == 200).await;
     calls.iter().for_each(|call| call.abort());
     wait_until("all streams are reset", || upstream.in_flight() == 0).await;
-    assert_eq!((balance.open_calls(), upstream.total()), (0, 200));
+    assert_eq!((balance.open_calls(), upstream.received_calls()), (0, 200));
 }
 
 /// Guards against a retry after a part of the response was passed on: the caller would receive the first message twice.
@@ -379,7 +383,7 @@
         outcome.is_broken && outcome.body == message(b"one"),
         "{outcome:?}"
     );
-    assert_eq!((upstream.total(), balance.open_calls()), (1, 0));
+    assert_eq!((upstream.received_calls(), balance.open_calls()), (1, 0));
 }
 
 #[tokio::test]
@@ -474,11 +478,11 @@
     let sized = |bytes: usize| request(POST).map(|_| Full::new(message(&vec![7; bytes])));
     let small = outcome(send(&balance, sized(900)).await).await;
     assert!(small.is_rejected(), "{small:?}");
-    let attempts = upstream.total();
+    let attempts = upstream.received_calls();
     assert!(attempts > 1, "a call with a small body is retried");
     let large = outcome(send(&balance, sized(300_000)).await).await;
     assert!(large.is_rejected(), "the call never ran: {large:?}");
-    assert_eq!(upstream.total(), attempts + 1);
+    assert_eq!(upstream.received_calls(), attempts + 1);
     for _ in 0..attempts {
         upstream.next_call().await;
     }
@@ -497,7 +501,7 @@
     });
     let streamed = request(POST).map(|_| StreamBody::new(Box::pin(frames)));
     assert!(outcome(send(&balance, streamed).await).await.is_rejected());
-    assert_eq!(upstream.total(), attempts + 2);
+    assert_eq!(upstream.received_calls(), attempts + 2);
     assert_eq!(
         upstream.next_call().await.body,
         [message(b"part"), message(b"part")].concat()
@@ -531,12 +535,12 @@
         .collect();
     drop(balance);
     drop(unpolled_calls);
-    let total = upstream.total();
+    let calls_before_close = upstream.received_calls();
     tokio::time::timeout(TEST_TIMEOUT, open.wait_for(|open| *open == 0))
         .await
         .unwrap()
         .unwrap();
-    assert_eq!(upstream.total(), total);
+    assert_eq!(upstream.received_calls(), calls_before_close);
 }
 
 /// Guards against calls being sent on a connection to a former process after a new one has started at its address.
--- a/crates/tower/tests/tonic.rs
+++ b/crates/tower/tests/tonic.rs
@@ -141,7 +141,10 @@
         .check(check_request(""))
         .await
         .unwrap_err();
-    assert_eq!((error.code(), upstream.total()), (Code::Unknown, 1));
+    assert_eq!(
+        (error.code(), upstream.received_calls()),
+        (Code::Unknown, 1)
+    );
     assert!(error.metadata().get("grpc-retry-pushback-ms").is_none());
     // The timeout set in tonic is forwarded to the upstream, and the call ends when it expires.
     let upstream = GrpcUpstream::start(|_| Reply::Stall).await;
@@ -170,7 +173,10 @@
     let balance = health_balance(&[upstream.address]);
     let mut client = HealthClient::new(balance.clone()).max_decoding_message_size(100_000);
     let error = client.check(check_request("")).await.unwrap_err();
-    assert_eq!((error.code(), upstream.total()), (Code::OutOfRange, 1));
+    assert_eq!(
+        (error.code(), upstream.received_calls()),
+        (Code::OutOfRange, 1)
+    );
     wait_until("no call is open", || balance.open_calls() == 0).await;
 }
 
--- a/crates/transport/src/http2/response_body.rs
+++ b/crates/transport/src/http2/response_body.rs
@@ -28,9 +28,9 @@
     /// The stream ended with an error.
     #[error("response stream failed: {0}")]
     Broken(#[source] h2::Error),
-    /// The response had not ended at the caller's deadline.
+    /// The response had not ended by the caller's deadline.
     #[error("response did not end before the caller's deadline")]
-    OutOfTime,
+    DeadlineExceeded,
 }
 
 impl ResponseBody {
@@ -114,7 +114,7 @@
             && deadline.as_mut().poll(cx).is_ready()
         {
             self.end(Outcome::Cancelled);
-            return Poll::Ready(Some(Err(ResponseBodyError::OutOfTime)));
+            return Poll::Ready(Some(Err(ResponseBodyError::DeadlineExceeded)));
         }
         match ready!(self.body.poll_data(cx)) {
             Some(Ok(data)) => {
