--- a/crates/benchmarks/src/callers.rs
+++ b/crates/benchmarks/src/callers.rs
@@ -185,13 +185,13 @@
     load: CallerLoad,
     upstreams: &[PeerProcess],
 ) -> Result<Vec<Measurement>, BenchmarkError> {
-    let mut rounds = vec![Vec::new(); methods.len()];
+    let mut rounds_by_method = vec![Vec::new(); methods.len()];
     for _ in 0..plan.rounds {
-        for (&method, rounds) in methods.iter().zip(&mut rounds) {
+        for (&method, rounds) in methods.iter().zip(&mut rounds_by_method) {
             rounds.push(run_process(plan.length, method, load, upstreams)?);
         }
     }
-    Ok(rounds
+    Ok(rounds_by_method
         .iter()
         .map(|rounds| Measurement::median(rounds))
         .collect())
--- a/crates/benchmarks/src/daemon.rs
+++ b/crates/benchmarks/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::process::{AddressSource, PeerProcess};
 use crate::procfs::cpu_time;
 use crate::servers::RESPONSE_BODY;
-use crate::settings::with_benchmark_times;
+use crate::settings::set_benchmark_times;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
@@ -40,7 +40,7 @@
         woadstall_mock_servers::http1::refused_address(),
         &[target],
     );
-    with_benchmark_times(&mut config["settings"]);
+    set_benchmark_times(&mut config["settings"]);
     let path = std::env::temp_dir().join(format!("woadstall-measure-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string())?;
     let mut command = Command::new(program);
@@ -150,9 +150,9 @@
         .enable_all()
         .build()?;
     for callers in [1, 64, 256] {
-        let mut rounds = [const { Vec::new() }; 3];
+        let mut rounds_by_peer = [const { Vec::new() }; 3];
         for _ in 0..plan.rounds {
-            for ((_, peer), rounds) in peers.iter().zip(&mut rounds) {
+            for ((_, peer), rounds) in peers.iter().zip(&mut rounds_by_peer) {
                 rounds.push(runtime.block_on(run_round(peer, callers, plan.length))?);
             }
         }
@@ -160,7 +160,7 @@
             "\n{callers} callers, unlimited rate, 1 upstream\n{}",
             table_header()
         );
-        let medians = rounds.map(|rounds| Measurement::median(&rounds));
+        let medians = rounds_by_peer.map(|rounds| Measurement::median(&rounds));
         for ((name, _), median) in peers.iter().zip(&medians) {
             println!("{}", median.table_row(name));
         }
--- a/crates/benchmarks/src/settings.rs
+++ b/crates/benchmarks/src/settings.rs
@@ -11,7 +11,7 @@
 const DEADLINE_NS: u64 = 1_500_000_000;
 
 /// Sets the latency target and the deadline of all classes to values far above the duration of a measured call.
-pub fn with_benchmark_times(settings: &mut Value) {
+pub fn set_benchmark_times(settings: &mut Value) {
     for class in settings["Classes"].as_array_mut().into_iter().flatten() {
         class["AimNs"] = LATENCY_TARGET_NS.into();
         class["DeadlineNs"] = DEADLINE_NS.into();
@@ -26,7 +26,7 @@
 pub fn start_plugin(upstreams: &[SocketAddr]) -> Result<Balance, BenchmarkError> {
     let mut settings =
         woadstall_mock_servers::http1::config(([127, 0, 0, 1], 1).into(), &[])["settings"].clone();
-    with_benchmark_times(&mut settings);
+    set_benchmark_times(&mut settings);
     let target = |(number, address): (usize, &SocketAddr)| {
         json!({"uid": format!("s-{number}"), "endpoint": address.to_string(), "az": "a",
             "state": "in_service"})
--- a/crates/load-test/src/rule_checker.rs
+++ b/crates/load-test/src/rule_checker.rs
@@ -58,8 +58,8 @@
 #[derive(Default)]
 struct State {
     requests: HashMap<String, RequestRecord>,
-    /// Time of the last execution for each key and group of upstreams.
-    last_executions: HashMap<(String, u32), Instant>,
+    /// Time of the last completed request for each key and group of upstreams.
+    last_completions: HashMap<(String, u32), Instant>,
     overdue_at_suspended: u64,
     unanswered: u64,
     ran_twice: u64,
@@ -110,7 +110,7 @@
         if let Some(key) = key {
             let now = Instant::now();
             let last = state
-                .last_executions
+                .last_completions
                 .insert((key.key.to_owned(), key.group), now);
             if last.is_some_and(|last| now < last + key.window) {
                 return;
--- a/crates/mock-servers/src/system.rs
+++ b/crates/mock-servers/src/system.rs
@@ -105,7 +105,7 @@
     log_folder: Option<PathBuf>,
     ports: [u16; PORTS],
     /// The second and third byte of all addresses of the system, so that several systems can run at the same time.
-    subnet: (u8, u8),
+    subnet: [u8; 2],
     /// Processes of the core machines; `None` while a machine is down.
     pub cores: Vec<Option<Process>>,
     /// Processes of the fronts; `None` while a front is down.
@@ -136,10 +136,10 @@
             layout,
             log_folder,
             ports: ports.try_into().expect("all ports"),
-            subnet: (
+            subnet: [
                 test_process_id[0].clamp(1, 250),
                 test_process_id[1].wrapping_add(NEXT_SUBNET.fetch_add(1, Ordering::Relaxed)),
-            ),
+            ],
             cores: (0..layout.cores).map(|_| None).collect(),
             fronts: (0..layout.fronts).map(|_| None).collect(),
         };
@@ -149,7 +149,8 @@
     }
 
     fn ip(&self, number: u8) -> IpAddr {
-        Ipv4Addr::new(127, self.subnet.0, self.subnet.1, number).into()
+        let [second, third] = self.subnet;
+        Ipv4Addr::new(127, second, third, number).into()
     }
 
     fn core_ip(&self, number: u8) -> IpAddr {
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -91,7 +91,9 @@
     }
 
     /// Returns the present epoch of the upstream, with the most recently used connection that is usable, or without one
-    /// if a connection may be opened. `None` if there is neither a usable connection nor capacity for a new one.
+    /// if a connection may be opened. If all usable connections are within their reuse delay and no further one may be
+    /// opened, the connection that has been idle for longest is used. `None` if there is neither a usable connection
+    /// nor capacity for a new one.
     pub fn check_out(&mut self, server: ServerId) -> Option<Checkout> {
         let next_epoch = &mut self.next_epoch;
         let pool = self.upstreams.entry(server).or_insert_with(|| {
