--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -153,17 +153,17 @@
         sample(&mut rng, &candidates, fault.part)
     }
 
-    /// Waits for the begin of a fault, applies the fault, and reverts it at its end.
+    /// Waits for the start of a fault, applies the fault, and reverts it at its end.
     async fn run_fault(self: Arc<Self>, index: usize) {
         let fault = &self.scenario.fault[index];
         let targets = self.draw_targets(index);
-        self.schedule.fault_begin(fault).await;
+        self.schedule.wait_for_fault_start(fault).await;
         match &fault.kind {
             FaultKind::Kill { .. } => self.kill_until_fault_end(fault, &targets).await,
             FaultKind::Roll => self.roll(fault, &targets).await,
             kind => {
                 self.set_fault(kind, &targets, true);
-                self.schedule.fault_end(fault).await;
+                self.schedule.wait_for_fault_end(fault).await;
                 self.set_fault(kind, &targets, false);
             }
         }
@@ -179,26 +179,26 @@
         for &upstream in targets {
             self.upstreams[upstream as usize].kill();
         }
-        self.schedule.fault_noticed(fault).await;
+        self.schedule.wait_for_fault_detection(fault).await;
         for &upstream in targets {
             self.set_listed_state(upstream, GONE);
         }
-        self.schedule.fault_end(fault).await;
+        self.schedule.wait_for_fault_end(fault).await;
         for &upstream in targets {
             self.restart(upstream).await;
         }
     }
 
-    /// Drains and restarts upstreams, with the begins spread evenly over the first half of the fault.
+    /// Drains and restarts upstreams. Their drains start at times spread evenly over the first half of the fault.
     async fn roll(self: &Arc<Self>, fault: &Fault, targets: &[u32]) {
         let mut restarts = JoinSet::new();
         for (index, &upstream) in targets.iter().enumerate() {
             let fleet = self.clone();
-            let begin = self.schedule.slot_begin(fault, 2, index, targets.len());
+            let drain_start = self.schedule.slot_start(fault, 2, index, targets.len());
             restarts.spawn(async move {
-                fleet.schedule.wait_until(begin).await;
+                fleet.schedule.wait_until(drain_start).await;
                 fleet.set_listed_state(upstream, TERMINATING);
-                fleet.schedule.drain().await;
+                fleet.schedule.wait_for_drain().await;
                 fleet.upstreams[upstream as usize].kill();
                 sleep(ROLL_DOWNTIME).await;
                 fleet.restart(upstream).await;
--- a/crates/transport/src/http1/pool.rs
+++ b/crates/transport/src/http1/pool.rs
@@ -35,14 +35,14 @@
 }
 
 struct IdleConnection {
-    since: Instant,
+    idle_since: Instant,
     connection: Connection,
 }
 
 impl IdleConnection {
     /// Whether the connection is within the idle timeout and has received nothing since its last response.
     fn is_usable(&self, idle_timeout: Duration) -> bool {
-        self.since.elapsed() < idle_timeout && self.connection.is_reusable()
+        self.idle_since.elapsed() < idle_timeout && self.connection.is_reusable()
     }
 }
 
@@ -91,7 +91,9 @@
     }
 
     /// Returns the present epoch of the upstream, with the most recently used connection that is usable, or without one
-    /// if a connection may be opened. `None` if there is neither a usable connection nor capacity for a new one.
+    /// if a connection may be opened. If all usable connections are within their reuse delay and no further one may be
+    /// opened, the connection that has been idle for longest is used. `None` if there is neither a usable connection
+    /// nor capacity for a new one.
     pub fn check_out(&mut self, server: ServerId) -> Option<Checkout> {
         let next_epoch = &mut self.next_epoch;
         let pool = self.upstreams.entry(server).or_insert_with(|| {
@@ -115,9 +117,10 @@
             });
         }
         pool.idle.retain(|idle| idle.is_usable(self.idle_timeout));
-        let delayed = pool.idle.len();
+        // The usable connections that remain are all within their reuse delay.
+        let delayed_connections = pool.idle.len();
         let may_open = self.make_capacity();
-        if may_open && delayed < MAX_DELAYED_CONNECTIONS {
+        if may_open && delayed_connections < MAX_DELAYED_CONNECTIONS {
             return Some(Checkout { epoch, idle: None });
         }
         let oldest = self
@@ -148,7 +151,7 @@
             .filter(|pool| pool.epoch == epoch)
         {
             pool.idle.push(IdleConnection {
-                since: Instant::now(),
+                idle_since: Instant::now(),
                 connection,
             });
         }
@@ -168,7 +171,7 @@
             let oldest = self
                 .upstreams
                 .iter()
-                .filter_map(|(server, pool)| Some((pool.idle.first()?.since, *server)))
+                .filter_map(|(server, pool)| Some((pool.idle.first()?.idle_since, *server)))
                 .min();
             if let Some((_, server)) = oldest {
                 self.upstreams
@@ -188,7 +191,7 @@
     /// Takes the most recently used connection that is usable and has been idle for at least `reuse_delay`. Closes the
     /// unusable connections that it meets; in most cases this inspects one socket instead of all idle ones.
     fn take_usable(&mut self, reuse_delay: Duration, idle_timeout: Duration) -> Option<Connection> {
-        let is_past_delay = |idle: &IdleConnection| idle.since.elapsed() >= reuse_delay;
+        let is_past_delay = |idle: &IdleConnection| idle.idle_since.elapsed() >= reuse_delay;
         while let Some(position) = self.idle.iter().rposition(is_past_delay) {
             let idle = self.idle.remove(position);
             if idle.is_usable(idle_timeout) {
