--- a/crates/coordination-simulation/src/checks/lost.rs
+++ b/crates/coordination-simulation/src/checks/lost.rs
@@ -24,7 +24,8 @@
         /// Time between the receipt of the revision and the answer, in milliseconds.
         age_ms: u64,
     },
-    /// A watch of the final phase was answered without events that had been acknowledged.
+    /// A watch of the final phase was answered without the events of puts that had been
+    /// acknowledged.
     #[error(
         "watch ended at revision {}, but revision {} was acknowledged: {request}",
         lagging_watch.revision,
@@ -58,7 +59,7 @@
         ) else {
             continue;
         };
-        let age_ms = completion.at.at_ms - received_ms;
+        let age_ms = completion.completed_at.time_ms - received_ms;
         if age_ms < HISTORY_MS {
             return Err(LostViolation::HistoryTooShort {
                 group: watch.group.clone(),
--- a/crates/coordination-simulation/src/checks/mixed.rs
+++ b/crates/coordination-simulation/src/checks/mixed.rs
@@ -52,7 +52,7 @@
 
 fn check_values(history: &History) -> Result<(), MixedViolation> {
     let commands = history.operations.iter().filter_map(Operation::command);
-    let sent: BTreeSet<(&str, &str)> = commands
+    let sent_puts: BTreeSet<(&str, &str)> = commands
         .filter_map(|command| match command {
             Command::Put { key, value, .. } => Some((&**key, &**value)),
             _ => None,
@@ -62,7 +62,7 @@
     for observed in observed_puts(history) {
         let put = (observed.key, observed.value);
         let (key, value) = (observed.key.to_owned(), observed.value.to_owned());
-        if !sent.contains(&put) {
+        if !sent_puts.contains(&put) {
             return Err(MixedViolation::UnknownValue { key, value });
         }
         let first = *revisions.entry(put).or_insert(observed.revision);
@@ -80,7 +80,7 @@
 
 fn check_conflicts(history: &History) -> Result<(), MixedViolation> {
     let groups = keys_by_revision(&observed_puts(history));
-    let indeterminate: BTreeSet<&str> = keys_with_indeterminate_puts(history);
+    let indeterminate_keys = keys_with_indeterminate_puts(history);
     for (operation, _, outcome) in history.executed() {
         let (Some(Command::Put { key, .. }), Outcome::RevisionConflict { current }) =
             (operation.command(), outcome)
@@ -92,7 +92,7 @@
         let is_possible = match changed_key {
             Some(changed_key) => changed_key == key,
             // A put with an indeterminate answer may have created the revision.
-            None => *current == 0 || indeterminate.contains(&**key),
+            None => *current == 0 || indeterminate_keys.contains(&**key),
         };
         if !is_possible {
             return Err(MixedViolation::UnknownRevision {
--- a/crates/coordination-simulation/src/checks/observed_puts.rs
+++ b/crates/coordination-simulation/src/checks/observed_puts.rs
@@ -13,7 +13,7 @@
     pub value: &'a str,
     pub revision: u64,
     /// When the client received the answer.
-    pub at: Timestamp,
+    pub observed_at: Timestamp,
 }
 
 /// All values and revisions that clients received from acknowledged puts, reads and watches.
@@ -23,7 +23,7 @@
         let Some(completion) = &operation.completion else {
             continue;
         };
-        let at = completion.at;
+        let observed_at = completion.completed_at;
         match operation.response() {
             Some(Response::Executed(Outcome::Put { revision })) => {
                 if let Some(Command::Put { key, value, .. }) = operation.command() {
@@ -32,7 +32,7 @@
                         key,
                         value,
                         revision,
-                        at,
+                        observed_at,
                     });
                 }
             }
@@ -43,16 +43,16 @@
                         key,
                         value,
                         revision,
-                        at,
+                        observed_at,
                     });
                 }
             }
-            Some(Response::Events(found)) => {
-                observed_puts.extend(found.events.iter().map(|event| ObservedPut {
+            Some(Response::Events(returned)) => {
+                observed_puts.extend(returned.events.iter().map(|event| ObservedPut {
                     key: &event.key,
                     value: &event.value,
                     revision: event.revision,
-                    at,
+                    observed_at,
                 }));
             }
             _ => {}
--- a/crates/coordination-simulation/src/checks/order.rs
+++ b/crates/coordination-simulation/src/checks/order.rs
@@ -103,15 +103,15 @@
 /// Returns the first violation in the history.
 pub fn check(history: &History) -> Result<(), OrderViolation> {
     check_numbers(history)?;
-    check_revisions_once(history)?;
-    check_revisions_rise(history)?;
+    check_revisions_are_unique(history)?;
+    check_revisions_increase(history)?;
     check_conditions(history)?;
     check_watches(history)
 }
 
 /// A sequence number or a revision that the service assigned.
 #[derive(Clone, Copy, Debug)]
-struct Assigned {
+struct AssignedNumber {
     value: u64,
     invoked_at: Timestamp,
     observed_at: Timestamp,
@@ -119,47 +119,47 @@
 
 /// Finds a value smaller than one that was observed before the call of the smaller value. Returns
 /// the smaller and the greater value. Sorts the values as a side effect.
-fn first_not_increasing(assigned: &mut [Assigned]) -> Option<(u64, u64)> {
-    assigned.sort_by_key(|assigned| assigned.value);
-    // The values are visited from the greatest to the smallest; `earliest` is the one among the
-    // greater values that was observed first.
-    let mut earliest: Option<Assigned> = None;
-    for assigned in assigned.iter().rev() {
-        if let Some(greater) = earliest
-            && greater.observed_at < assigned.invoked_at
+fn first_not_increasing(numbers: &mut [AssignedNumber]) -> Option<(u64, u64)> {
+    numbers.sort_by_key(|number| number.value);
+    // The values are visited from the greatest to the smallest. `earliest_greater` is the one that
+    // was observed first among the values visited so far.
+    let mut earliest_greater: Option<AssignedNumber> = None;
+    for number in numbers.iter().rev() {
+        if let Some(greater) = earliest_greater
+            && greater.observed_at < number.invoked_at
         {
-            return Some((assigned.value, greater.value));
+            return Some((number.value, greater.value));
         }
-        if earliest.is_none_or(|earliest| assigned.observed_at < earliest.observed_at) {
-            earliest = Some(*assigned);
+        if earliest_greater.is_none_or(|greater| number.observed_at < greater.observed_at) {
+            earliest_greater = Some(*number);
         }
     }
     None
 }
 
 fn check_numbers(history: &History) -> Result<(), OrderViolation> {
-    let mut sequences: BTreeMap<&str, Vec<Assigned>> = BTreeMap::new();
+    let mut sequences: BTreeMap<&str, Vec<AssignedNumber>> = BTreeMap::new();
     for (operation, observed_at, outcome) in history.executed() {
         if let (Some(Command::NextNumber { sequence }), Outcome::Number { value }) =
             (operation.command(), outcome)
         {
             let (value, invoked_at) = (*value, operation.invoked_at);
-            sequences.entry(sequence).or_default().push(Assigned {
+            sequences.entry(sequence).or_default().push(AssignedNumber {
                 value,
                 invoked_at,
                 observed_at,
             });
         }
     }
-    for (sequence, mut assigned) in sequences {
-        if let Some((value, previous)) = first_not_increasing(&mut assigned) {
+    for (sequence, mut numbers) in sequences {
+        if let Some((value, previous)) = first_not_increasing(&mut numbers) {
             return Err(OrderViolation::NumberNotIncreasing {
                 sequence: sequence.to_owned(),
                 value,
                 previous,
             });
         }
-        if let Some(pair) = assigned
+        if let Some(pair) = numbers
             .windows(2)
             .find(|pair| pair[0].value == pair[1].value)
         {
@@ -172,25 +172,26 @@
     Ok(())
 }
 
-fn check_revisions_once(history: &History) -> Result<(), OrderViolation> {
+fn check_revisions_are_unique(history: &History) -> Result<(), OrderViolation> {
     let mut puts: BTreeMap<(&str, u64), (&str, &str)> = BTreeMap::new();
     for observed in observed_puts(history) {
         let group = group_of(observed.key);
         let put = (observed.key, observed.value);
-        let known = *puts.entry((group, observed.revision)).or_insert(put);
-        if known != put {
+        let first_put = *puts.entry((group, observed.revision)).or_insert(put);
+        if first_put != put {
+            let text = |(key, value): (&str, &str)| format!("{key}={value}");
             return Err(OrderViolation::DuplicateRevision {
                 group: group.to_owned(),
                 revision: observed.revision,
-                first: format!("{}={}", known.0, known.1),
-                second: format!("{}={}", put.0, put.1),
+                first: text(first_put),
+                second: text(put),
             });
         }
     }
     Ok(())
 }
 
-fn check_revisions_rise(history: &History) -> Result<(), OrderViolation> {
+fn check_revisions_increase(history: &History) -> Result<(), OrderViolation> {
     let mut first_calls: BTreeMap<(&str, &str), Timestamp> = BTreeMap::new();
     for operation in &history.operations {
         if let Some(Command::Put { key, value, .. }) = operation.command() {
@@ -199,7 +200,7 @@
                 .or_insert(operation.invoked_at);
         }
     }
-    let mut groups: BTreeMap<&str, Vec<Assigned>> = BTreeMap::new();
+    let mut groups: BTreeMap<&str, Vec<AssignedNumber>> = BTreeMap::new();
     for observed in observed_puts(history) {
         let Some(invoked_at) = first_calls.get(&(observed.key, observed.value)) else {
             continue;
@@ -207,14 +208,14 @@
         groups
             .entry(group_of(observed.key))
             .or_default()
-            .push(Assigned {
+            .push(AssignedNumber {
                 value: observed.revision,
                 invoked_at: *invoked_at,
-                observed_at: observed.at,
+                observed_at: observed.observed_at,
             });
     }
-    for (group, mut assigned) in groups {
-        if let Some((revision, previous)) = first_not_increasing(&mut assigned) {
+    for (group, mut numbers) in groups {
+        if let Some((revision, previous)) = first_not_increasing(&mut numbers) {
             return Err(OrderViolation::RevisionNotIncreasing {
                 group: group.to_owned(),
                 revision,
@@ -245,9 +246,10 @@
         else {
             continue;
         };
-        let known = revisions.get(&**key).into_iter().flatten();
-        let mut replaced = known.filter(|known| *required < **known && **known < *revision);
-        if let Some(replaced) = replaced.next() {
+        let revisions_of_key = revisions.get(&**key).into_iter().flatten();
+        let mut between =
+            revisions_of_key.filter(|between| *required < **between && **between < *revision);
+        if let Some(replaced) = between.next() {
             return Err(OrderViolation::ConditionIgnored {
                 key: key.clone(),
                 required: *required,
@@ -262,13 +264,15 @@
 fn check_watches(history: &History) -> Result<(), OrderViolation> {
     let groups = keys_by_revision(&observed_puts(history));
     for operation in &history.operations {
-        let (Some((watch, _)), Some(Response::Events(found))) =
+        let (Some((watch, _)), Some(Response::Events(returned))) =
             (operation.watch(), operation.response())
         else {
             continue;
         };
+        // A watch after revision 0 requests only the current revision of the group, no events.
         if watch.after > 0 {
-            check_watch_events(&watch.group, watch.after, found, groups.get(&*watch.group))?;
+            let puts = groups.get(&*watch.group);
+            check_watch_events(&watch.group, watch.after, returned, puts)?;
         }
     }
     Ok(())
@@ -277,28 +281,29 @@
 fn check_watch_events(
     group: &str,
     after: u64,
-    found: &GroupEvents,
+    returned: &GroupEvents,
     puts: Option<&BTreeMap<u64, &str>>,
 ) -> Result<(), OrderViolation> {
-    let revisions: Vec<u64> = found.events.iter().map(|event| event.revision).collect();
+    let revisions: Vec<u64> = returned.events.iter().map(|event| event.revision).collect();
     let is_increasing = revisions.windows(2).all(|pair| pair[0] < pair[1]);
     let is_in_range = revisions
         .iter()
-        .all(|revision| after < *revision && *revision <= found.revision);
-    if !is_increasing || !is_in_range || found.revision < after {
+        .all(|revision| after < *revision && *revision <= returned.revision);
+    if !is_increasing || !is_in_range || returned.revision < after {
         return Err(OrderViolation::EventsOutOfOrder {
             group: group.to_owned(),
             after,
             revisions,
         });
     }
-    let known = puts.into_iter().flat_map(|puts| puts.keys());
-    let mut expected = known.filter(|revision| after < **revision && **revision <= found.revision);
+    let put_revisions = puts.into_iter().flat_map(|puts| puts.keys());
+    let mut expected =
+        put_revisions.filter(|revision| after < **revision && **revision <= returned.revision);
     match expected.find(|revision| !revisions.contains(revision)) {
         Some(revision) => Err(OrderViolation::EventSkipped {
             group: group.to_owned(),
             after,
-            until: found.revision,
+            until: returned.revision,
             revision: *revision,
         }),
         None => Ok(()),
--- a/crates/coordination-simulation/src/checks/stale.rs
+++ b/crates/coordination-simulation/src/checks/stale.rs
@@ -27,11 +27,12 @@
 /// Returns the first stale read in the history.
 pub fn check(history: &History) -> Result<(), StaleViolation> {
     let mut acknowledged: BTreeMap<&str, Vec<(Timestamp, u64)>> = BTreeMap::new();
-    for (operation, at, outcome) in history.executed() {
+    for (operation, completed_at, outcome) in history.executed() {
         if let (Some(Command::Put { key, .. }), Outcome::Put { revision }) =
             (operation.command(), outcome)
         {
-            acknowledged.entry(key).or_default().push((at, *revision));
+            let put = (completed_at, *revision);
+            acknowledged.entry(key).or_default().push(put);
         }
     }
     for (operation, _, outcome) in history.executed() {
@@ -43,8 +44,8 @@
             _ => 0,
         };
         let puts = acknowledged.get(&**key).into_iter().flatten();
-        let before = puts.filter(|(at, _)| *at < operation.invoked_at);
-        let newest = before.map(|(_, revision)| *revision).max();
+        let earlier_puts = puts.filter(|(completed_at, _)| *completed_at < operation.invoked_at);
+        let newest = earlier_puts.map(|(_, revision)| *revision).max();
         if let Some(acknowledged) = newest.filter(|newest| *newest > revision) {
             return Err(StaleViolation {
                 key: key.clone(),
--- a/crates/coordination-simulation/src/history.rs
+++ b/crates/coordination-simulation/src/history.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp {
     /// Virtual time, in milliseconds.
-    pub at_ms: u64,
+    pub time_ms: u64,
     /// Position among all recorded invocations and completions, from 1.
     pub sequence_number: u64,
 }
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
     /// When the answer reached the client, or the client gave up.
-    pub at: Timestamp,
+    pub completed_at: Timestamp,
     /// The first answer that the client received.
     pub answer: Answer,
 }
@@ -95,7 +95,7 @@
     /// When the client learned the outcome, and the outcome, if the operation was executed.
     pub fn outcome(&self) -> Option<(Timestamp, &Outcome)> {
         let completion = self.completion.as_ref()?;
-        Some((completion.at, completion.answer.outcome()?))
+        Some((completion.completed_at, completion.answer.outcome()?))
     }
 
     /// The command that was sent; `None` for queries and watches.
@@ -132,7 +132,7 @@
     }
 }
 
-/// An interval in which a client relies on a lease: it regards itself as the owner of the lock.
+/// An interval in which a client relies on a lease and regards itself as the owner of the lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseInterval {
     /// Name of the lock.
@@ -180,10 +180,10 @@
 }
 
 impl History {
-    fn next_timestamp(&mut self, at_ms: u64) -> Timestamp {
+    fn next_timestamp(&mut self, time_ms: u64) -> Timestamp {
         self.last_sequence_number += 1;
         Timestamp {
-            at_ms,
+            time_ms,
             sequence_number: self.last_sequence_number,
         }
     }
@@ -191,12 +191,12 @@
     /// Records that a client sent a request to a machine.
     pub fn invoke(
         &mut self,
-        at_ms: u64,
+        now_ms: u64,
         client: ClientId,
         node: NodeIndex,
         request: Request,
     ) -> OperationId {
-        let invoked_at = self.next_timestamp(at_ms);
+        let invoked_at = self.next_timestamp(now_ms);
         self.operations.push(Operation {
             client,
             node,
@@ -209,11 +209,14 @@
 
     /// Records an answer, unless the operation is already complete. Returns whether it was
     /// recorded.
-    pub fn complete(&mut self, at_ms: u64, operation: OperationId, answer: Answer) -> bool {
-        let at = self.next_timestamp(at_ms);
+    pub fn complete(&mut self, now_ms: u64, operation: OperationId, answer: Answer) -> bool {
+        let completed_at = self.next_timestamp(now_ms);
         let completion = &mut self.operations[operation].completion;
         let is_first = completion.is_none();
-        completion.get_or_insert(Completion { at, answer });
+        completion.get_or_insert(Completion {
+            completed_at,
+            answer,
+        });
         is_first
     }
 
@@ -221,8 +224,8 @@
     /// with the outcome.
     pub fn executed(&self) -> impl Iterator<Item = (&Operation, Timestamp, &Outcome)> {
         self.operations.iter().filter_map(|operation| {
-            let (at, outcome) = operation.outcome()?;
-            Some((operation, at, outcome))
+            let (completed_at, outcome) = operation.outcome()?;
+            Some((operation, completed_at, outcome))
         })
     }
 }
