--- a/crates/coordination-simulation/src/cluster/actions.rs
+++ b/crates/coordination-simulation/src/cluster/actions.rs
@@ -48,10 +48,10 @@
     fn execute_action(&mut self, node: NodeIndex, action: Action) {
         match action {
             Action::Connect { address } => {
-                self.nodes[node].connected.insert(address);
+                self.nodes[node].wanted_connections.insert(address);
             }
             Action::Disconnect { address } => {
-                self.nodes[node].connected.remove(&address);
+                self.nodes[node].wanted_connections.remove(&address);
                 if let Some(to) = self.node_at(&address) {
                     self.reset_connection(Link { from: node, to });
                 }
--- a/crates/coordination-simulation/src/cluster/client_access.rs
+++ b/crates/coordination-simulation/src/cluster/client_access.rs
@@ -71,7 +71,7 @@
     }
 
     /// A random machine.
-    pub fn any_node(&mut self) -> NodeIndex {
+    pub fn random_node(&mut self) -> NodeIndex {
         let present_nodes = self.cluster.present_nodes();
         self.cluster
             .random
--- a/crates/coordination-simulation/src/cluster/event.rs
+++ b/crates/coordination-simulation/src/cluster/event.rs
@@ -27,7 +27,7 @@
     },
     /// The periodic tick of a process.
     Tick { node: NodeIndex, incarnation: u64 },
-    /// A deadline of a process, beside its periodic ticks.
+    /// A deadline of a process, in addition to its periodic ticks.
     Deadline { node: NodeIndex, incarnation: u64 },
     /// A frozen process resumes.
     Resume { node: NodeIndex, incarnation: u64 },
@@ -37,7 +37,8 @@
     Stop { node: NodeIndex, incarnation: u64 },
     /// A partition ends.
     EndPartition { number: u64 },
-    /// The periodic update of connections: they are established, released or timed out.
+    /// The periodic update of connections: establishes requested connections, resets timed-out
+    /// connections, and delivers packets whose partition has ended.
     UpdateConnections,
     /// A request arrives at a machine.
     Request { operation: OperationId },
--- a/crates/coordination-simulation/src/cluster/faults.rs
+++ b/crates/coordination-simulation/src/cluster/faults.rs
@@ -24,8 +24,8 @@
     /// were not synced is lost.
     pub fn lose_power(&mut self, node: NodeIndex, down_ms: u64) {
         self.log_event(Some(node), format!("fault power for {down_ms}"));
-        let started = self.random.usize(..=self.nodes[node].disk.queued());
-        self.end(node, started);
+        let started_writes = self.random.usize(..=self.nodes[node].disk.queued());
+        self.end(node, started_writes);
         self.schedule(down_ms, Event::Start { node });
     }
 
@@ -50,23 +50,23 @@
         self.log_event(Some(node), format!("fault replace for {down_ms}"));
         self.end(node, 0);
         self.nodes[node].is_present = false;
-        let initial = self.state_of_empty_disk();
+        let initial_state = self.state_of_empty_disk();
         let (zone, region) = (self.nodes[node].zone, self.nodes[node].region);
-        let added = self.nodes.len();
+        let added_node = self.nodes.len();
         self.nodes
-            .push(Node::new(address(added), zone, region, initial));
-        let known = self.known_addresses();
+            .push(Node::new(address(added_node), zone, region, initial_state));
+        let known_addresses = self.known_addresses();
         for other in 0..self.nodes.len() {
             if let Some(process) = self.nodes[other].process.as_mut() {
-                process.set_known_addresses(known.clone());
+                process.set_known_addresses(known_addresses.clone());
                 self.execute_actions(other);
             }
         }
-        self.schedule(down_ms, Event::Start { node: added });
+        self.schedule(down_ms, Event::Start { node: added_node });
     }
 
-    /// Shuts a process down in order: it gets notice, ends after the notice period, and restarts
-    /// `down_ms` later. Does nothing to a process that is frozen or does not run.
+    /// Shuts a process down gracefully: the process gets notice, ends after the notice period, and
+    /// restarts `down_ms` later. Does nothing to a process that is frozen or does not run.
     pub fn shut_down(&mut self, node: NodeIndex, down_ms: u64) {
         if self.nodes[node].process.is_none() || self.is_frozen(node) {
             return;
--- a/crates/coordination-simulation/src/cluster/lifecycle.rs
+++ b/crates/coordination-simulation/src/cluster/lifecycle.rs
@@ -18,7 +18,7 @@
         }
         let (incarnation_id, seed) = (self.random.u64(1..), self.random.u64(..));
         let settings = self.settings(node, incarnation_id);
-        let known = self.known_addresses();
+        let known_addresses = self.known_addresses();
         let now_ms = self.now_ms;
         let host = &mut self.nodes[node];
         host.incarnation += 1;
@@ -28,7 +28,7 @@
         host.deadline_ms = None;
         let durable = host.disk.durable().clone();
         let mut process = CoordinationMachine::new(settings, durable, 0, seed);
-        process.set_known_addresses(known);
+        process.set_known_addresses(known_addresses);
         host.process = Some(process);
         let incarnation = host.incarnation;
         let phase_ms = self.random.u64(..TICK_MS);
@@ -75,7 +75,7 @@
         host.process = None;
         host.inbox.clear();
         host.frozen_until_ms = 0;
-        host.connected.clear();
+        host.wanted_connections.clear();
         host.disk.lose_power(started_writes, &mut self.random);
         for other in 0..self.nodes.len() {
             for (from, to) in [(node, other), (other, node)] {
@@ -95,10 +95,10 @@
     /// Answers all pending requests to a node with the loss of the connection.
     fn disconnect_clients(&mut self, node: NodeIndex) {
         let operations = self.history.operations.iter().enumerate();
-        let waiting = operations
+        let pending = operations
             .filter(|(_, operation)| operation.node == node && operation.completion.is_none());
-        let waiting: Vec<OperationId> = waiting.map(|(number, _)| number).collect();
-        for operation in waiting {
+        let pending: Vec<OperationId> = pending.map(|(id, _)| id).collect();
+        for operation in pending {
             self.send_answer(operation, Answer::Disconnected);
         }
     }
--- a/crates/coordination-simulation/src/cluster/mod.rs
+++ b/crates/coordination-simulation/src/cluster/mod.rs
@@ -42,7 +42,7 @@
     pub tolerated_failures: usize,
 }
 
-/// Two machines in each of three regions, of which two may be lost at the same time.
+/// Six machines, two in each of three regions. Any two machines may be lost at the same time.
 pub const SIX_IN_THREE_REGIONS: Topology = Topology {
     nodes: 6,
     founders: 3,
@@ -174,8 +174,8 @@
             .nodes
             .iter()
             .map(|node| node.disk.durable().log.membership());
-        let mut known = memberships.filter(|membership| !membership.voters.is_empty());
-        known.all(|membership| {
+        let mut memberships = memberships.filter(|membership| !membership.voters.is_empty());
+        memberships.all(|membership| {
             membership.voters.is_empty()
                 || is_majority(&membership.voters, keeps_disk)
                     && (membership.next_voters.is_empty()
@@ -185,12 +185,12 @@
 
     /// The log and the state of the running replicas, with one line per record and per replica.
     pub fn describe(&self) -> String {
-        let logged = self.log.iter().map(|line| match line.node {
+        let log_lines = self.log.iter().map(|line| match line.node {
             Some(node) => format!("{} node={node} {}", line.at_ms, line.text),
             None => format!("{} {}", line.at_ms, line.text),
         });
         let replicas = (0..self.nodes.len()).filter_map(|node| self.describe_replica(node));
-        logged.chain(replicas).collect::<Vec<_>>().join("\n")
+        log_lines.chain(replicas).collect::<Vec<_>>().join("\n")
     }
 
     fn describe_replica(&self, node: NodeIndex) -> Option<String> {
@@ -237,8 +237,8 @@
         }
     };
     let new_node = |node: NodeIndex| {
-        let initial = DurableState::new(node as u64 + 1, initial_snapshot(node));
-        Node::new(address(node), node, node % topology.regions, initial)
+        let initial_state = DurableState::new(node as u64 + 1, initial_snapshot(node));
+        Node::new(address(node), node, node % topology.regions, initial_state)
     };
     (0..topology.nodes).map(new_node).collect()
 }
--- a/crates/coordination-simulation/src/cluster/node.rs
+++ b/crates/coordination-simulation/src/cluster/node.rs
@@ -25,30 +25,30 @@
     pub inbox: VecDeque<Event>,
     /// Whether the process got notice of its shutdown.
     pub is_shutting_down: bool,
-    /// Next scheduled deadline of the process beside its periodic ticks, in milliseconds.
+    /// Next scheduled deadline of the process in addition to its periodic ticks, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Addresses that the process wants to be connected to.
-    pub connected: BTreeSet<String>,
+    /// Addresses that the process has asked to be connected to.
+    pub wanted_connections: BTreeSet<String>,
     /// Whether the node is part of the cluster; `false` once it was removed.
     pub is_present: bool,
 }
 
 impl Node {
-    /// A node whose process does not run yet, with a disk that contains `initial`.
-    pub fn new(address: String, zone: usize, region: usize, initial: DurableState) -> Self {
+    /// A node whose process does not run yet, with a disk that contains `initial_state`.
+    pub fn new(address: String, zone: usize, region: usize, initial_state: DurableState) -> Self {
         Self {
             address,
             zone,
             region,
             process: None,
-            disk: SimulatedDisk::new(initial),
+            disk: SimulatedDisk::new(initial_state),
             incarnation: 0,
             started_ms: 0,
             frozen_until_ms: 0,
             inbox: VecDeque::new(),
             is_shutting_down: false,
             deadline_ms: None,
-            connected: BTreeSet::new(),
+            wanted_connections: BTreeSet::new(),
             is_present: true,
         }
     }
--- a/crates/coordination-simulation/src/cluster/time.rs
+++ b/crates/coordination-simulation/src/cluster/time.rs
@@ -117,15 +117,16 @@
             _ => return None,
         };
         let host = &self.nodes[node];
-        let runs = host.process.is_some()
+        let is_running = host.process.is_some()
             && incarnation.is_none_or(|incarnation| incarnation == host.incarnation);
-        if !runs {
+        if !is_running {
             self.discard(event);
         }
-        runs.then_some(node)
+        is_running.then_some(node)
     }
 
-    /// Discards an event for a process that has ended. Clients are disconnected.
+    /// Discards an event for a process that has ended. The client of a discarded request is
+    /// disconnected.
     fn discard(&mut self, event: &Event) {
         match event {
             Event::Delivery { packet, .. } => {
@@ -212,7 +213,11 @@
             if self.nodes[from].process.is_none() || self.is_frozen(from) {
                 continue;
             }
-            let addresses: Vec<String> = self.nodes[from].connected.iter().cloned().collect();
+            let addresses: Vec<String> = self.nodes[from]
+                .wanted_connections
+                .iter()
+                .cloned()
+                .collect();
             for address in addresses {
                 self.connect(from, &address);
             }
