--- a/crates/coordination-simulation/src/clients/final_client.rs
+++ b/crates/coordination-simulation/src/clients/final_client.rs
@@ -52,22 +52,23 @@
     /// The revisions of an answer and of the goal, if the answer of a watch ends before the goal
     /// and is not a page of a longer list.
     fn lagging_watch(&self, answer: &Answer) -> Option<LaggingWatch> {
-        let (FinalGoal::EventsUpTo(acknowledged), Answer::Response(Response::Events(found))) =
+        let (FinalGoal::EventsUpTo(acknowledged), Answer::Response(Response::Events(returned))) =
             (self.goal, answer)
         else {
             return None;
         };
-        let sizes = found.events.iter().map(|event| event.value.len());
+        let sizes = returned.events.iter().map(|event| event.value.len());
         let is_page = sizes.sum::<usize>() > PAGE_BYTES;
-        let revision = found.revision;
+        let revision = returned.revision;
         (revision < acknowledged && !is_page).then_some(LaggingWatch {
             revision,
             acknowledged,
         })
     }
 
-    /// Whether an answer reaches the goal. Moves the watch on to the revision of the answer.
-    fn is_done(&mut self, now_ms: u64, answer: &Answer) -> bool {
+    /// Advances the watch to the revision of an answer. Returns whether the answer reaches the
+    /// goal.
+    fn process_answer(&mut self, now_ms: u64, answer: &Answer) -> bool {
         let Answer::Response(response) = answer else {
             return false;
         };
@@ -75,12 +76,12 @@
             (FinalGoal::Executed, Response::Executed(_), _) => true,
             (
                 FinalGoal::EventsUpTo(revision),
-                Response::Events(found),
+                Response::Events(returned),
                 Request::Watch { watch, received_ms },
             ) => {
-                watch.after = found.revision;
+                watch.after = returned.revision;
                 *received_ms = now_ms;
-                found.revision >= revision
+                returned.revision >= revision
             }
             // The rule LOST decides whether the machine was allowed to compact the history.
             (FinalGoal::EventsUpTo(_), Response::HistoryCompacted, _) => true,
@@ -97,10 +98,10 @@
     fn on_answer(&mut self, context: &mut ClientContext<'_>, _: OperationId, answer: &Answer) {
         let now_ms = context.now_ms();
         let lagging_watch = self.lagging_watch(answer);
-        let is_done = self.is_done(now_ms, answer);
+        let is_goal_reached = self.process_answer(now_ms, answer);
         let call = &mut context.cluster.history.final_calls[self.call_index];
         call.lagging_watch = call.lagging_watch.or(lagging_watch);
-        if is_done {
+        if is_goal_reached {
             call.answered_ms = Some(now_ms);
             return;
         }
--- a/crates/coordination-simulation/src/clients/key_client.rs
+++ b/crates/coordination-simulation/src/clients/key_client.rs
@@ -71,8 +71,8 @@
         if random.u8(..8) == 0 {
             value.push_str(&"x".repeat(LONG_VALUE_BYTES));
         }
-        let known = self.known_revisions.get(&key).copied();
-        let if_revision = known.filter(|_| random.bool());
+        let known_revision = self.known_revisions.get(&key).copied();
+        let if_revision = known_revision.filter(|_| random.bool());
         let command = Command::Put {
             key,
             value,
--- a/crates/coordination-simulation/src/clients/lock_client.rs
+++ b/crates/coordination-simulation/src/clients/lock_client.rs
@@ -18,8 +18,8 @@
 const PAUSE_MS: Range<u64> = 20..300;
 /// Time between the crash of a client and its restart under the same owner name, in milliseconds.
 const RESTART_DELAY_MS: Range<u64> = 20..3_000;
-/// How long [`LeaseUsage::Oversleep`] waits after the end of its lease, in milliseconds.
-const OVERSLEEP_MS: Range<u64> = 20..1_500;
+/// How long [`LeaseUsage::RenewAfterExpiry`] waits after the end of its lease, in milliseconds.
+const LATE_RENEWAL_DELAY_MS: Range<u64> = 20..1_500;
 
 /// How a client uses its leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Crashes while it holds the lock, and restarts under the same owner name.
     Crash,
     /// Pauses until after the end of the lease, then tries to renew the lease.
-    Oversleep,
+    RenewAfterExpiry,
 }
 
 /// A lease as its owner sees it.
@@ -189,7 +189,7 @@
             LeaseUsage::ReleaseEarly => random.u64(EARLY_RELEASE_MS).min(remaining_ms),
             LeaseUsage::RenewRepeatedly => remaining_ms / 3,
             LeaseUsage::Crash => random.u64(..=remaining_ms),
-            LeaseUsage::Oversleep => remaining_ms + random.u64(OVERSLEEP_MS),
+            LeaseUsage::RenewAfterExpiry => remaining_ms + random.u64(LATE_RENEWAL_DELAY_MS),
         };
         context.set_timer(delay_ms);
     }
@@ -207,7 +207,9 @@
                 self.renew(context, lease);
             }
             LeaseUsage::Crash => self.crash(context, lease),
-            LeaseUsage::RenewRepeatedly | LeaseUsage::Oversleep => self.renew(context, lease),
+            LeaseUsage::RenewRepeatedly | LeaseUsage::RenewAfterExpiry => {
+                self.renew(context, lease)
+            }
         }
     }
 
--- a/crates/coordination-simulation/src/clients/watch_client.rs
+++ b/crates/coordination-simulation/src/clients/watch_client.rs
@@ -73,12 +73,12 @@
     fn on_answer(&mut self, context: &mut ClientContext<'_>, _: OperationId, answer: &Answer) {
         let mut pause_ms = 1;
         match answer {
-            Answer::Response(Response::Events(found)) => {
-                self.save(context.now_ms(), found.revision);
+            Answer::Response(Response::Events(returned)) => {
+                self.save(context.now_ms(), returned.revision);
                 if context.cluster.random.u8(..10) == 0 {
                     self.node = context.random_other_node(self.node);
                 }
-                if found.revision == 0 {
+                if returned.revision == 0 {
                     pause_ms = RETRY_MS;
                 }
             }
--- a/crates/coordination-simulation/src/scenario/faults.rs
+++ b/crates/coordination-simulation/src/scenario/faults.rs
@@ -27,7 +27,7 @@
     /// Partitions and connection resets.
     pub network: bool,
     /// Stalls of disks.
-    pub stalls: bool,
+    pub disk_stalls: bool,
     /// Losses of disks and replacements of machines.
     pub disk_losses: bool,
 }
@@ -39,7 +39,7 @@
         power_losses: false,
         freezes: false,
         network: false,
-        stalls: false,
+        disk_stalls: false,
         disk_losses: false,
     };
     /// Faults of all kinds.
@@ -48,7 +48,7 @@
         power_losses: true,
         freezes: true,
         network: true,
-        stalls: true,
+        disk_stalls: true,
         disk_losses: true,
     };
 
@@ -77,11 +77,16 @@
                     Fault::ResetConnections,
                 ],
             ),
-            (self.stalls, &[Fault::StallDisk, Fault::StallLeaderDisk]),
+            (
+                self.disk_stalls,
+                &[Fault::StallDisk, Fault::StallLeaderDisk],
+            ),
             (self.disk_losses, &[Fault::LoseDisk, Fault::Replace]),
         ];
-        let wanted = fault_kinds.into_iter().filter(|(is_wanted, _)| *is_wanted);
-        wanted
+        let selected = fault_kinds
+            .into_iter()
+            .filter(|(is_selected, _)| *is_selected);
+        selected
             .flat_map(|(_, faults)| faults.iter().copied())
             .collect()
     }
@@ -116,11 +121,11 @@
     if !faults.is_empty() {
         let count = cluster.random.usize(FAULT_COUNT);
         let random = &mut cluster.random;
-        let mut times: Vec<u64> = (0..count).map(|_| random.u64(..duration_ms)).collect();
-        times.sort_unstable();
+        let mut offsets_ms: Vec<u64> = (0..count).map(|_| random.u64(..duration_ms)).collect();
+        offsets_ms.sort_unstable();
         let start_ms = cluster.now_ms;
-        for time_ms in times {
-            let wait_ms = (start_ms + time_ms) - cluster.now_ms;
+        for offset_ms in offsets_ms {
+            let wait_ms = (start_ms + offset_ms) - cluster.now_ms;
             cluster.run_for(wait_ms);
             if let Some(fault) = cluster.random.choice(&faults).copied() {
                 fault.inject(cluster);
@@ -176,6 +181,7 @@
             Self::StallLeaderDisk => cluster.stall_disk(leader, duration_ms),
             Self::LoseDisk if cluster.can_lose_disks(&[node]) => cluster.lose_disk(node, down_ms),
             Self::Replace if cluster.can_lose_disks(&[node]) => cluster.replace(node, down_ms),
+            // The loss of this disk could lose committed entries, so the node only loses power.
             Self::LoseDisk | Self::Replace => cluster.lose_power(node, down_ms),
         }
     }
--- a/crates/coordination-simulation/src/scenario/final_phase.rs
+++ b/crates/coordination-simulation/src/scenario/final_phase.rs
@@ -39,22 +39,25 @@
 impl FinalFault {
     /// Chooses a random final fault of the given kinds.
     pub(super) fn draw(random: &mut fastrand::Rng, fault_kinds: FaultKinds) -> Self {
-        let endings = [
+        let final_faults = [
             (true, Self::NoFault),
             (fault_kinds.process_ends, Self::KillAll),
             (fault_kinds.power_losses, Self::LosePowerOnAll),
             (fault_kinds.disk_losses, Self::LoseTwoDisks),
             (fault_kinds.disk_losses, Self::LoseTwoDisks),
         ];
-        let possible = endings.into_iter().filter(|(is_possible, _)| *is_possible);
-        let possible: Vec<Self> = possible.map(|(_, final_fault)| final_fault).collect();
-        random.choice(possible).unwrap_or(Self::NoFault)
+        let selected = final_faults
+            .into_iter()
+            .filter(|(is_selected, _)| *is_selected);
+        let selected: Vec<Self> = selected.map(|(_, final_fault)| final_fault).collect();
+        random.choice(selected).unwrap_or(Self::NoFault)
     }
 }
 
 /// Stops the clients, ends all faults and injects the final fault, right after an acknowledgement
-/// so that the acknowledged write is at risk. Returns the injected fault: all machines lose power
-/// instead of two disks if the loss of these disks could lose committed entries.
+/// so that the acknowledged write is at risk. Returns the injected fault:
+/// [`FinalFault::LosePowerOnAll`] instead of [`FinalFault::LoseTwoDisks`] if the loss of the two
+/// chosen disks could lose committed entries.
 pub(super) fn inject(cluster: &mut Cluster, final_fault: FinalFault) -> FinalFault {
     if final_fault != FinalFault::NoFault {
         wait_for_acknowledgement(cluster);
@@ -69,16 +72,17 @@
             .for_each(|node| cluster.kill(*node, DOWN_MS)),
         FinalFault::LosePowerOnAll => lose_power(cluster, &present_nodes),
         FinalFault::LoseTwoDisks => {
-            let lost = disks_to_lose(cluster, &present_nodes);
+            let lost_disks = disks_to_lose(cluster, &present_nodes);
             let others: Vec<NodeIndex> = present_nodes
                 .iter()
                 .copied()
-                .filter(|node| !lost.contains(node))
+                .filter(|node| !lost_disks.contains(node))
                 .collect();
             lose_power(cluster, &others);
-            lost.iter()
+            lost_disks
+                .iter()
                 .for_each(|node| cluster.lose_disk(*node, DOWN_MS));
-            if lost.is_empty() {
+            if lost_disks.is_empty() {
                 return FinalFault::LosePowerOnAll;
             }
         }
@@ -112,15 +116,16 @@
 }
 
 /// Adds clients that read all keys, request a number of each sequence, acquire each lock, and
-/// resume watches of each group from the oldest and the newest recent revision in `saved`.
-pub(super) fn add_final_clients(cluster: &mut Cluster, saved: &[SavedRevision]) {
+/// resume watches of each group from the oldest and the newest recent revision in
+/// `saved_revisions`.
+pub(super) fn add_final_clients(cluster: &mut Cluster, saved_revisions: &[SavedRevision]) {
     for key in keys() {
         let call = Call::Query(Query::Get { key });
-        add(cluster, Request::Call(call), FinalGoal::Executed);
+        add_final_client(cluster, Request::Call(call), FinalGoal::Executed);
     }
     for sequence in sequences() {
         let call = Call::Command(Command::NextNumber { sequence });
-        add(cluster, Request::Call(call), FinalGoal::Executed);
+        add_final_client(cluster, Request::Call(call), FinalGoal::Executed);
     }
     for lock in locks() {
         let call = Call::Command(Command::AcquireLock {
@@ -128,24 +133,25 @@
             owner: "final".to_owned(),
             lease_ms: LEASE_MS,
         });
-        add(cluster, Request::Call(call), FinalGoal::Executed);
+        add_final_client(cluster, Request::Call(call), FinalGoal::Executed);
     }
     let acknowledged = acknowledged_revisions(cluster);
     for group in groups() {
         let until = acknowledged.get(&group).copied().unwrap_or_default();
         let goal = FinalGoal::EventsUpTo(until);
-        let of_group = saved.iter().filter(|saved| saved.group == group);
         let oldest_ms = cluster.now_ms.saturating_sub(HISTORY_MS / 2);
-        let recent = of_group.filter(|saved| saved.received_ms >= oldest_ms && saved.revision > 0);
-        let recent: Vec<&SavedRevision> = recent.collect();
-        let resumed = [recent.first(), recent.last()];
-        for saved in resumed.into_iter().flatten() {
-            add(cluster, watch(&group, saved), goal);
+        let is_recent = |saved: &&SavedRevision| {
+            saved.group == group && saved.received_ms >= oldest_ms && saved.revision > 0
+        };
+        let recent: Vec<&SavedRevision> = saved_revisions.iter().filter(is_recent).collect();
+        let oldest_and_newest = [recent.first(), recent.last()];
+        for saved in oldest_and_newest.into_iter().flatten() {
+            add_final_client(cluster, watch_request(&group, saved), goal);
         }
     }
 }
 
-fn watch(group: &str, saved: &SavedRevision) -> Request {
+fn watch_request(group: &str, saved: &SavedRevision) -> Request {
     Request::Watch {
         watch: WatchRequest {
             group: group.to_owned(),
@@ -163,14 +169,14 @@
         if let (Some(Command::Put { key, .. }), Outcome::Put { revision }) =
             (operation.command(), outcome)
         {
-            let known = revisions.entry(group_of(key).to_owned()).or_default();
-            *known = (*known).max(*revision);
+            let greatest = revisions.entry(group_of(key).to_owned()).or_default();
+            *greatest = (*greatest).max(*revision);
         }
     }
     revisions
 }
 
-fn add(cluster: &mut Cluster, request: Request, goal: FinalGoal) {
+fn add_final_client(cluster: &mut Cluster, request: Request, goal: FinalGoal) {
     let present_nodes = cluster.present_nodes();
     let node = cluster.random.choice(present_nodes).unwrap_or_default();
     FinalClient::add(cluster, request, goal, node);
--- a/crates/coordination-simulation/src/scenario/mod.rs
+++ b/crates/coordination-simulation/src/scenario/mod.rs
@@ -26,7 +26,7 @@
     pub seed: u64,
     /// The kinds of faults that may be injected.
     pub fault_kinds: FaultKinds,
-    /// The final fault; chosen at random among the kinds of faults if `None`.
+    /// The final fault; `None` for a random one of the kinds in `fault_kinds`.
     pub final_fault: Option<FinalFault>,
 }
 
@@ -45,12 +45,13 @@
     pub fn run(&self) -> ScenarioResult {
         let mut cluster = Cluster::new(self.seed, SIX_IN_THREE_REGIONS);
         cluster.run_for(STARTUP_MS);
-        let saved = SavedRevisions::default();
-        workload::add_clients(&mut cluster, &saved);
+        let saved_revisions = SavedRevisions::default();
+        workload::add_clients(&mut cluster, &saved_revisions);
         faults::inject(&mut cluster, self.fault_kinds, TRAFFIC_MS);
-        let drawn = FinalFault::draw(&mut cluster.random, self.fault_kinds);
-        let final_fault = final_phase::inject(&mut cluster, self.final_fault.unwrap_or(drawn));
-        final_phase::add_final_clients(&mut cluster, &saved.borrow());
+        let random_fault = FinalFault::draw(&mut cluster.random, self.fault_kinds);
+        let final_fault = self.final_fault.unwrap_or(random_fault);
+        let final_fault = final_phase::inject(&mut cluster, final_fault);
+        final_phase::add_final_clients(&mut cluster, &saved_revisions.borrow());
         cluster.run_for(FINAL_PHASE_MS);
         let result = match cluster.divergence() {
             Some(divergence) => Err((*divergence).into()),
--- a/crates/coordination-simulation/src/scenario/workload.rs
+++ b/crates/coordination-simulation/src/scenario/workload.rs
@@ -21,7 +21,7 @@
     LeaseUsage::ReleaseEarly,
     LeaseUsage::RenewRepeatedly,
     LeaseUsage::Crash,
-    LeaseUsage::Oversleep,
+    LeaseUsage::RenewAfterExpiry,
 ];
 
 /// Names of all locks.
@@ -51,36 +51,36 @@
     for lock in locks() {
         for (number, usage) in LEASE_USAGES.into_iter().enumerate() {
             let owner = format!("caller-{number}");
-            let node = any_node(cluster);
+            let node = random_node(cluster);
             let client = LockClient::new(lock.clone(), owner, usage, node);
-            add(cluster, client);
+            add_client(cluster, client);
         }
     }
     for sequence in sequences() {
         for _ in 0..CLIENTS_PER_SEQUENCE {
-            let client = SequenceClient::new(sequence.clone(), any_node(cluster));
-            add(cluster, client);
+            let client = SequenceClient::new(sequence.clone(), random_node(cluster));
+            add_client(cluster, client);
         }
     }
     for number in 0..KEY_CLIENTS {
         let name = format!("value-{number}");
-        let client = KeyClient::new(name, keys(), any_node(cluster));
-        add(cluster, client);
+        let client = KeyClient::new(name, keys(), random_node(cluster));
+        add_client(cluster, client);
     }
     for group in groups() {
         for _ in 0..WATCH_CLIENTS_PER_GROUP {
-            let watch_client = WatchClient::new(group.clone(), any_node(cluster), saved.clone());
-            add(cluster, watch_client);
+            let watch_client = WatchClient::new(group.clone(), random_node(cluster), saved.clone());
+            add_client(cluster, watch_client);
         }
     }
 }
 
-fn any_node(cluster: &mut Cluster) -> NodeIndex {
+fn random_node(cluster: &mut Cluster) -> NodeIndex {
     let present_nodes = cluster.present_nodes();
     cluster.random.choice(present_nodes).unwrap_or_default()
 }
 
-fn add(cluster: &mut Cluster, client: impl crate::clients::Client + 'static) {
+fn add_client(cluster: &mut Cluster, client: impl crate::clients::Client + 'static) {
     let delay_ms = cluster.random.u64(..START_PERIOD_MS);
     cluster.add_client(Box::new(client), delay_ms);
 }
