--- a/crates/control-simulation/src/cluster/actions.rs
+++ b/crates/control-simulation/src/cluster/actions.rs
@@ -126,7 +126,8 @@
             self.history.complete(token, self.now_ms, output);
         }
         if self.responses.insert(token, response).is_some() {
-            self.invariants.fail(Violation::DuplicateResponse { token });
+            self.invariants
+                .record_violation(Violation::DuplicateResponse { token });
         }
     }
 }
--- a/crates/control-simulation/src/cluster/checks.rs
+++ b/crates/control-simulation/src/cluster/checks.rs
@@ -11,7 +11,7 @@
 impl Cluster {
     /// Checks that an acknowledged configuration is on the disks of a quorum.
     pub(super) fn check_durable_on_quorum(&mut self, token: u64, output: &Output) {
-        let Some(Input::Put { generation, .. }) = self.history.pending(token) else {
+        let Some(Input::Put { generation, .. }) = self.history.pending_input(token) else {
             return;
         };
         let generation = *generation;
@@ -24,7 +24,7 @@
         let is_durable_at = |member: &Member| self.is_durable_at(member, generation);
         if !newest.replica().membership().is_quorum(is_durable_at) {
             self.invariants
-                .fail(Violation::AcknowledgedWithoutQuorum { generation });
+                .record_violation(Violation::AcknowledgedWithoutQuorum { generation });
         }
     }
 
@@ -39,13 +39,13 @@
     /// Checks that each process and balancer knows all acknowledged drainings, and that the history
     /// of operations is linearizable. Call it only after the cluster has recovered from all faults.
     pub fn check_all(&mut self) {
-        (0..self.len()).for_each(|node| self.check_acknowledged(node));
+        (0..self.len()).for_each(|node| self.check_acknowledged_draining(node));
         if let Err(not_linearizable) = self.history.check() {
-            self.invariants.fail(not_linearizable.into());
+            self.invariants.record_violation(not_linearizable.into());
         }
     }
 
-    fn check_acknowledged(&mut self, node: NodeIndex) {
+    fn check_acknowledged_draining(&mut self, node: NodeIndex) {
         let Some(process) = &self.nodes[node].process else {
             return;
         };
@@ -53,20 +53,21 @@
         let statuses: BTreeMap<String, UpstreamStatus> = registrations
             .map(|registration| (registration.id, registration.status))
             .collect();
-        self.invariants.check_acknowledged(node, &statuses);
+        self.invariants.check_acknowledged_draining(node, &statuses);
         for balancer in self.nodes[node].balancers.values() {
-            self.invariants.check_acknowledged(node, &balancer.statuses);
+            self.invariants
+                .check_acknowledged_draining(node, &balancer.statuses);
         }
     }
 
     /// The log and the state of the running replicas, with one line per record and per replica.
     pub fn describe(&self) -> String {
-        let logged = self
+        let log_lines = self
             .log
             .iter()
             .map(|line| format!("{} node={} {}", line.at_ms, line.node, line.text));
         let replicas = (0..self.len()).filter_map(|node| self.describe_replica(node));
-        logged.chain(replicas).collect::<Vec<_>>().join("\n")
+        log_lines.chain(replicas).collect::<Vec<_>>().join("\n")
     }
 
     fn describe_replica(&self, node: NodeIndex) -> Option<String> {
--- a/crates/control-simulation/src/cluster/observations.rs
+++ b/crates/control-simulation/src/cluster/observations.rs
@@ -71,9 +71,9 @@
             .observe(Observation::Final, self.now_ms)
             .number(checks)
             .number(next_random)
-            .number(self.history.completed() as u64)
+            .number(self.history.completed_count() as u64)
             .number(self.packets.len() as u64)
-            .number(self.events.scheduled());
+            .number(self.events.scheduled_count());
         for node in &self.nodes {
             add_node(digest.observe(Observation::Final, self.now_ms), node);
         }
--- a/crates/control-simulation/src/event_queue.rs
+++ b/crates/control-simulation/src/event_queue.rs
@@ -4,6 +4,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
+/// A scheduled event with its time.
 #[derive(Debug)]
 struct Entry<E> {
     at_ms: u64,
@@ -42,14 +43,14 @@
 #[derive(Debug)]
 pub struct EventQueue<E> {
     entries: BinaryHeap<Reverse<Entry<E>>>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         Self {
             entries: BinaryHeap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
         }
     }
 }
@@ -57,10 +58,10 @@
 impl<E> EventQueue<E> {
     /// Schedules an event at a virtual time, in milliseconds.
     pub fn schedule(&mut self, at_ms: u64, event: E) {
-        self.scheduled += 1;
+        self.scheduled_count += 1;
         self.entries.push(Reverse(Entry {
             at_ms,
-            sequence: self.scheduled,
+            sequence: self.scheduled_count,
             event,
         }));
     }
@@ -75,8 +76,8 @@
         Some((entry.at_ms, entry.event))
     }
 
-    /// Number of events that have been scheduled, with those already handled.
-    pub fn scheduled(&self) -> u64 {
-        self.scheduled
+    /// Number of events that have been scheduled, including those already handled.
+    pub fn scheduled_count(&self) -> u64 {
+        self.scheduled_count
     }
 }
--- a/crates/control-simulation/src/history/linearizability.rs
+++ b/crates/control-simulation/src/history/linearizability.rs
@@ -36,11 +36,11 @@
 pub(super) fn check(operations: Vec<Operation>) -> Result<(), NotLinearizable> {
     let mut states = BTreeSet::from([Model::default()]);
     for group in split_at_quiescence(operations) {
-        let after = states
+        let states_after_group = states
             .iter()
             .flat_map(|state| final_states(&group, state))
             .collect();
-        states = after;
+        states = states_after_group;
         if states.is_empty() {
             return Err(NotLinearizable { operations: group });
         }
@@ -74,7 +74,7 @@
         count <= MAX_CONCURRENT,
         "{count} concurrent operations exceed the limit of {MAX_CONCURRENT}"
     );
-    let all = if count == MAX_CONCURRENT {
+    let all_executed = if count == MAX_CONCURRENT {
         u128::MAX
     } else {
         (1 << count) - 1
@@ -86,7 +86,7 @@
         if !visited.insert((executed, model.clone())) {
             continue;
         }
-        if executed == all {
+        if executed == all_executed {
             final_states.push(model);
         } else {
             push_successors(operations, executed, &model, &mut stack);
--- a/crates/control-simulation/src/history/mod.rs
+++ b/crates/control-simulation/src/history/mod.rs
@@ -150,7 +150,7 @@
     }
 
     /// The input of a pending operation; `None` if no operation with this token is pending.
-    pub fn pending(&self, token: u64) -> Option<&Input> {
+    pub fn pending_input(&self, token: u64) -> Option<&Input> {
         self.pending.get(&token).map(|operation| &operation.input)
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Number of operations that have returned.
-    pub fn completed(&self) -> usize {
+    pub fn completed_count(&self) -> usize {
         self.completed.len()
     }
 
--- a/crates/control-simulation/src/invariants.rs
+++ b/crates/control-simulation/src/invariants.rs
@@ -12,7 +12,7 @@
 use woadstall_control::registry::UpstreamStatus;
 use woadstall_control::state::ControlState;
 
-/// Maximum number of log entries of a process, which no fault may exceed.
+/// Maximum number of log entries of a process, also while faults are active.
 const MAX_LOG_ENTRIES: usize = 4_000;
 
 /// The part of the applied state that is compared between processes.
@@ -82,7 +82,7 @@
     GenerationDecreased {
         /// Node whose feed the balancer reads.
         node: NodeIndex,
-        /// Subscription of the balancer.
+        /// Subscription number of the balancer.
         subscriber: u64,
         /// Active generation before the last packet of the feed.
         before: u64,
@@ -123,7 +123,7 @@
 
 impl Invariants {
     /// Records a violation, unless one is recorded already.
-    pub fn fail(&mut self, violation: Violation) {
+    pub fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
@@ -139,7 +139,7 @@
         self.check_draining(node, incarnation, process);
         let entries = process.replica().log().entries().len();
         if entries > MAX_LOG_ENTRIES {
-            self.fail(Violation::LogTooLong { node, entries });
+            self.record_violation(Violation::LogTooLong { node, entries });
         }
     }
 
@@ -151,7 +151,7 @@
         let (term, second) = (replica.term(), replica.id());
         let first = *self.leaders.entry(term).or_insert(second);
         if first != second {
-            self.fail(Violation::TwoLeaders {
+            self.record_violation(Violation::TwoLeaders {
                 term,
                 first,
                 second,
@@ -169,7 +169,7 @@
         let expected = self.states.entry(index).or_insert_with(|| found.clone());
         if *expected != found {
             let expected = expected.clone();
-            self.fail(Violation::StateDiverged {
+            self.record_violation(Violation::StateDiverged {
                 node,
                 index,
                 found,
@@ -179,17 +179,17 @@
     }
 
     fn check_draining(&mut self, node: NodeIndex, incarnation: u64, process: &ControlMachine) {
-        let known = self.terminating.entry((node, incarnation)).or_default();
+        let terminating = self.terminating.entry((node, incarnation)).or_default();
         let mut reverted = None;
         for registration in process.registrations() {
             if registration.status.is_terminating() {
-                known.insert(registration.id);
-            } else if known.contains(&registration.id) {
+                terminating.insert(registration.id);
+            } else if terminating.contains(&registration.id) {
                 reverted = Some(registration.id);
             }
         }
         if let Some(upstream) = reverted {
-            self.fail(Violation::DrainingReverted { node, upstream });
+            self.record_violation(Violation::DrainingReverted { node, upstream });
         }
     }
 
@@ -198,7 +198,7 @@
         if let [.., before, after] = balancer.generations[..]
             && after < before
         {
-            self.fail(Violation::GenerationDecreased {
+            self.record_violation(Violation::GenerationDecreased {
                 node,
                 subscriber,
                 before,
@@ -209,7 +209,7 @@
 
     /// Checks that a node or a balancer treats no upstream as active whose draining was
     /// acknowledged. Valid only after the recovery from all faults.
-    pub fn check_acknowledged(
+    pub fn check_acknowledged_draining(
         &mut self,
         node: NodeIndex,
         statuses: &BTreeMap<String, UpstreamStatus>,
@@ -220,7 +220,7 @@
                 .is_some_and(|status| !status.is_terminating())
         };
         if let Some(upstream) = self.acknowledged_draining.iter().find(is_active).cloned() {
-            self.fail(Violation::AcknowledgedDrainingLost { node, upstream });
+            self.record_violation(Violation::AcknowledgedDrainingLost { node, upstream });
         }
     }
 }
--- a/crates/control-simulation/tests/random_scenarios.rs
+++ b/crates/control-simulation/tests/random_scenarios.rs
@@ -86,7 +86,7 @@
     for seed in 0..seeds() {
         let scenario = Scenario::generate(seed, Environment { topology, network }, faults, STEPS);
         match scenario.run_and_shrink() {
-            Ok(cluster) => completed += cluster.history.completed() as u64,
+            Ok(cluster) => completed += cluster.history.completed_count() as u64,
             Err(failed) => panic!("{failed}"),
         }
     }
