--- a/crates/control-simulation/src/cluster/lifecycle.rs
+++ b/crates/control-simulation/src/cluster/lifecycle.rs
@@ -69,8 +69,8 @@
     /// Ends a process by a power loss. A random part of the unsynced writes survives, possibly
     /// torn.
     pub fn crash(&mut self, node: NodeIndex) {
-        let started = self.random.usize(..=self.nodes[node].disk.queued());
-        self.end(node, started);
+        let started_writes = self.random.usize(..=self.nodes[node].disk.queued());
+        self.end(node, started_writes);
     }
 
     /// Crashes all processes.
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Stops a process and replaces its disk by an empty one. The node starts with a new replica id
-    /// next time.
+    /// Stops a process and replaces its disk by an empty one. The next process of the node has a
+    /// new replica id.
     pub fn wipe_disk(&mut self, node: NodeIndex) {
         self.stop(node);
         self.nodes[node].disk = SimulatedDisk::new(self.state_of_empty_disk());
@@ -119,15 +119,15 @@
     }
 
     /// Stops a node and removes it permanently.
-    pub fn remove(&mut self, node: NodeIndex) {
+    pub fn remove_node(&mut self, node: NodeIndex) {
         self.stop(node);
         self.nodes[node].is_present = false;
     }
 
     /// Adds a node with an empty disk and starts it. Returns its index.
-    pub fn add(&mut self) -> NodeIndex {
-        let initial = self.state_of_empty_disk();
-        self.nodes.push(Node::new(initial));
+    pub fn add_node(&mut self) -> NodeIndex {
+        let initial_state = self.state_of_empty_disk();
+        self.nodes.push(Node::new(initial_state));
         let node = self.len() - 1;
         self.start(node);
         node
--- a/crates/control-simulation/src/cluster/mod.rs
+++ b/crates/control-simulation/src/cluster/mod.rs
@@ -126,7 +126,7 @@
         cluster
     }
 
-    /// Number of nodes that were ever added, with the removed ones.
+    /// Number of nodes that were ever added, including the removed ones.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/control-simulation/src/cluster/node.rs
+++ b/crates/control-simulation/src/cluster/node.rs
@@ -15,18 +15,18 @@
     pub(super) incarnation: u64,
     /// End of a pause of the process, in milliseconds; 0 if it was not paused.
     pub(super) paused_until_ms: u64,
-    /// Balancers that read the feed of the process, by subscription.
+    /// Balancers that read the feed of the process, by subscription number.
     pub(super) balancers: BTreeMap<u64, Balancer>,
     /// Whether the node is part of the cluster; `false` once it was removed.
     pub(super) is_present: bool,
 }
 
 impl Node {
-    /// A node whose process does not run yet, with a disk that contains `initial`.
-    pub(super) fn new(initial: DurableState) -> Self {
+    /// A node whose process does not run yet, with a disk that contains `initial_state`.
+    pub(super) fn new(initial_state: DurableState) -> Self {
         Self {
             process: None,
-            disk: SimulatedDisk::new(initial),
+            disk: SimulatedDisk::new(initial_state),
             incarnation: 0,
             paused_until_ms: 0,
             balancers: BTreeMap::new(),
--- a/crates/control-simulation/src/disk.rs
+++ b/crates/control-simulation/src/disk.rs
@@ -139,15 +139,15 @@
         Some(Synced::Records(sequence))
     }
 
-    /// Simulates a power loss while the first `started` queued writes are in progress, and reloads
-    /// the storage from the parts of the writes that survived.
+    /// Simulates a power loss while the first `started_writes` queued writes are in progress, and
+    /// reloads the storage from the parts of the writes that survived.
     ///
     /// # Panics
     ///
     /// If the storage cannot read the synced data, which it guarantees to survive a power loss.
-    pub fn lose_power(&mut self, started: usize, random: &mut fastrand::Rng) {
+    pub fn lose_power(&mut self, started_writes: usize, random: &mut fastrand::Rng) {
         self.storage.medium().rejects_writes = false;
-        let records = self.take_queued_records(started);
+        let records = self.take_queued_records(started_writes);
         if !records.is_empty() {
             self.storage.medium().fails_syncs = true;
             self.storage.write(&records).ok();
@@ -165,9 +165,9 @@
             .expect("the disk was initialized");
     }
 
-    /// Empties the queue. Returns the records among its first `started` writes.
-    fn take_queued_records(&mut self, started: usize) -> Vec<Record> {
-        let started = self.queue.drain(..).take(started);
+    /// Empties the queue. Returns the records among its first `started_writes` writes.
+    fn take_queued_records(&mut self, started_writes: usize) -> Vec<Record> {
+        let started = self.queue.drain(..).take(started_writes);
         let records = started.filter_map(|write| match write {
             QueuedWrite::Record { record, .. } => Some(record),
             QueuedWrite::Registrations { .. } => None,
--- a/crates/control-simulation/src/medium.rs
+++ b/crates/control-simulation/src/medium.rs
@@ -54,9 +54,9 @@
         {
             let survival = Survival::random(random, bytes.len());
             for (number, sector) in bytes.chunks(SECTOR_BYTES).enumerate() {
-                let at = number * SECTOR_BYTES;
-                if survival.keeps(at + sector.len(), random) {
-                    write_at(&mut self.durable[file], offset + at, sector);
+                let sector_start = number * SECTOR_BYTES;
+                if survival.keeps(sector_start + sector.len(), random) {
+                    write_at(&mut self.durable[file], offset + sector_start, sector);
                 }
             }
         }
--- a/crates/control-simulation/src/network.rs
+++ b/crates/control-simulation/src/network.rs
@@ -127,9 +127,9 @@
     }
 
     /// Partitions two nodes in both directions.
-    pub fn partition(&mut self, one: NodeIndex, other: NodeIndex) {
-        self.partition_direction(one, other);
-        self.partition_direction(other, one);
+    pub fn partition(&mut self, node: NodeIndex, other: NodeIndex) {
+        self.partition_direction(node, other);
+        self.partition_direction(other, node);
     }
 
     /// Ends all partitions.
--- a/crates/control-simulation/src/scenario/client.rs
+++ b/crates/control-simulation/src/scenario/client.rs
@@ -23,7 +23,7 @@
     submitted: Vec<SubmittedPut>,
     newest_generation: u64,
     /// Number of configurations created so far. Makes configurations of the same generation differ.
-    created: u64,
+    configuration_count: u64,
     last_command: Option<Command>,
 }
 
@@ -42,9 +42,9 @@
 
     /// Submits a new configuration. Returns the token of the request.
     pub(super) fn put(&mut self, cluster: &mut Cluster, node: NodeIndex) -> u64 {
-        self.created += 1;
+        self.configuration_count += 1;
         let generation = self.newest_generation + 2;
-        let body = configuration(generation, self.created);
+        let body = configuration(generation, self.configuration_count);
         let command = Command::Put {
             base: self.newest_generation,
             body,
--- a/crates/control-simulation/src/scenario/generate.rs
+++ b/crates/control-simulation/src/scenario/generate.rs
@@ -47,24 +47,29 @@
 const SHORT_WAIT_MS: Range<u64> = 1..250;
 
 impl Scenario {
-    /// Generates a scenario of at least `steps` steps. The number may be exceeded by the last group
-    /// of related steps.
-    pub fn generate(seed: u64, environment: Environment, faults: FaultKinds, steps: usize) -> Self {
+    /// Generates a scenario of at least `min_steps` steps. The last group of related steps may
+    /// exceed this number.
+    pub fn generate(
+        seed: u64,
+        environment: Environment,
+        faults: FaultKinds,
+        min_steps: usize,
+    ) -> Self {
         let random = Rng::with_seed(seed);
         let mut generator = Generator {
             random,
             nodes: environment.topology.nodes,
             faults,
         };
-        let mut generated = Vec::new();
-        while generated.len() < steps {
-            generated.extend(generator.next_steps());
-            generated.push(generator.wait(SHORT_WAIT_MS));
+        let mut steps = Vec::new();
+        while steps.len() < min_steps {
+            steps.extend(generator.next_steps());
+            steps.push(generator.wait(SHORT_WAIT_MS));
         }
         Self {
             seed,
             environment,
-            steps: generated,
+            steps,
         }
     }
 }
@@ -101,7 +106,7 @@
         let request = match kind {
             0..=5 => RequestStep::Put {
                 node,
-                rival: self.random.u8(..4) == 0,
+                with_rival: self.random.u8(..4) == 0,
             },
             6..=7 => RequestStep::RetryPut { node },
             8 => RequestStep::Evacuate {
@@ -168,11 +173,11 @@
                 }
             }
             23 => NetworkStep::Split {
-                first: self.random.usize(1..self.nodes),
+                group_size: self.random.usize(1..self.nodes),
             },
             _ => {
                 let other = (node + self.random.usize(1..self.nodes)) % self.nodes;
-                NetworkStep::Partition { one: node, other }
+                NetworkStep::Partition { node, other }
             }
         }
     }
--- a/crates/control-simulation/src/scenario/mod.rs
+++ b/crates/control-simulation/src/scenario/mod.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are explained with their variants")]
 pub enum RequestStep {
-    /// An operator replaces the newest generation that it knows. With `rival`, it submits a second
-    /// configuration for the same generation at the next node.
-    Put { node: NodeIndex, rival: bool },
+    /// An operator replaces the newest generation that it knows. If `with_rival` is set, it submits
+    /// a second configuration for the same generation at the next node.
+    Put { node: NodeIndex, with_rival: bool },
     /// The operator submits the last configuration again, unchanged.
     RetryPut { node: NodeIndex },
     /// An operator evacuates a zone.
@@ -101,10 +101,10 @@
         inbound: bool,
         outbound: bool,
     },
-    /// The first `first` nodes are partitioned from all others.
-    Split { first: usize },
+    /// The first `group_size` nodes are partitioned from all others.
+    Split { group_size: usize },
     /// Two nodes are partitioned from each other.
-    Partition { one: NodeIndex, other: NodeIndex },
+    Partition { node: NodeIndex, other: NodeIndex },
     /// All partitions end.
     Heal,
 }
--- a/crates/control-simulation/src/scenario/run.rs
+++ b/crates/control-simulation/src/scenario/run.rs
@@ -21,7 +21,7 @@
 const RECOVERY_READ_MS: u64 = 1_100;
 /// Time between the notice of a shutdown and the end of the process, in milliseconds.
 const SHUTDOWN_NOTICE_MS: u64 = 600;
-/// Subscription of the balancer at each node.
+/// Subscription number of the balancer at each node.
 const SUBSCRIBER: u64 = 1;
 
 /// The failure of a scenario.
@@ -82,7 +82,7 @@
     operator: Operator,
     upstreams: Upstreams,
     /// Number of the current step, from 1.
-    step: u64,
+    step_number: u64,
 }
 
 impl Runner {
@@ -93,7 +93,7 @@
             cluster,
             operator: Operator::default(),
             upstreams: Upstreams::default(),
-            step: 0,
+            step_number: 0,
         }
     }
 
@@ -107,7 +107,7 @@
 
     fn apply(&mut self, step: Step) {
         self.operator.read_responses(&self.cluster);
-        self.step += 1;
+        self.step_number += 1;
         match step {
             Step::Request(request) => self.send_request(request),
             Step::Process(step) => self.apply_to_process(step),
@@ -123,13 +123,13 @@
             cluster,
             operator,
             upstreams,
-            step,
+            step_number,
         } = self;
         let zone_name = |zone: u8| format!("zone-{zone}");
         match request {
-            RequestStep::Put { node, rival } => {
+            RequestStep::Put { node, with_rival } => {
                 operator.put(cluster, node);
-                if rival {
+                if with_rival {
                     operator.put(cluster, (node + 1) % cluster.len());
                 }
             }
@@ -154,13 +154,13 @@
                 cluster.read(node);
             }
             RequestStep::Register { node, upstream } => {
-                upstreams.register(cluster, node, upstream, *step);
+                upstreams.register(cluster, node, upstream, *step_number);
             }
             RequestStep::Drain { node, upstream } => {
-                upstreams.drain(cluster, node, upstream, *step);
+                upstreams.drain(cluster, node, upstream, *step_number);
             }
             RequestStep::Deregister { node, upstream } => {
-                upstreams.deregister(cluster, node, upstream, *step);
+                upstreams.deregister(cluster, node, upstream, *step_number);
             }
         }
     }
@@ -219,12 +219,12 @@
                     }
                 }
             }
-            NetworkStep::Split { first } => {
-                for one in 0..first {
-                    (first..nodes).for_each(|other| network.partition(one, other));
+            NetworkStep::Split { group_size } => {
+                for node in 0..group_size {
+                    (group_size..nodes).for_each(|other| network.partition(node, other));
                 }
             }
-            NetworkStep::Partition { one, other } => network.partition(one, other),
+            NetworkStep::Partition { node, other } => network.partition(node, other),
             NetworkStep::Heal => network.heal(),
         }
     }
--- a/crates/control-simulation/tests/catch_up.rs
+++ b/crates/control-simulation/tests/catch_up.rs
@@ -22,8 +22,8 @@
         for _ in 0..30 {
             let node = cluster.random.usize(..3);
             let token = cluster.submit(node, put(generation, generation + 2));
-            let time = cluster.random.u64(50..500);
-            cluster.run_for(time);
+            let wait_ms = cluster.random.u64(50..500);
+            cluster.run_for(wait_ms);
             if cluster.responses.get(&token) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
@@ -94,7 +94,7 @@
         commit_at(
             &mut cluster,
             leader,
-            large(change * 2, (change + 1) * 2, change),
+            large_put(change * 2, (change + 1) * 2, change),
         );
     }
     let newest = CHANGES * 2;
@@ -124,7 +124,7 @@
 
 /// A put of a configuration. One in 100 changes contains 40 kB of random text, which is hard to
 /// compress.
-fn large(base: u64, generation: u64, change: u64) -> Command {
+fn large_put(base: u64, generation: u64, change: u64) -> Command {
     let mut document: serde_json::Value =
         serde_json::from_slice(&configuration(generation, 0)).unwrap();
     if change % 100 == 99 {
--- a/crates/control-simulation/tests/commands.rs
+++ b/crates/control-simulation/tests/commands.rs
@@ -56,9 +56,9 @@
         let mut cluster = ClusterBuilder::new(seed).build();
         cluster.submit(0, put(0, 5));
         cluster.run_for(1_000);
-        let (one, other) = (cluster.submit(1, put(5, 7)), cluster.submit(2, put(5, 8)));
+        let tokens = [cluster.submit(1, put(5, 7)), cluster.submit(2, put(5, 8))];
         cluster.run_for(1_000);
-        let responses = [&cluster.responses[&one], &cluster.responses[&other]];
+        let responses = tokens.map(|token| &cluster.responses[&token]);
         let acknowledged = responses
             .iter()
             .filter(|response| ***response == CallResponse::Acknowledged)
@@ -92,17 +92,17 @@
                 })
                 .collect();
             let nodes: Vec<usize> = rivals.iter().map(|_| cluster.random.usize(..6)).collect();
-            let first: Vec<u64> = (0..2)
+            let first_tokens: Vec<u64> = (0..2)
                 .map(|operator| cluster.submit(nodes[operator], rivals[operator].clone()))
                 .collect();
-            let wait = cluster.random.u64(..300);
-            cluster.run_for(wait);
+            let wait_ms = cluster.random.u64(..300);
+            cluster.run_for(wait_ms);
             // One of the nodes that received the commands restarts before it responds.
             cluster.crash(nodes[round % 2]);
             cluster.start(nodes[round % 2]);
             // The operators treat the responses as lost, and both retry at other nodes.
             let mut committed = BTreeSet::new();
-            for (operator, token) in first.iter().enumerate() {
+            for (operator, token) in first_tokens.iter().enumerate() {
                 if cluster.responses.get(token) == Some(&CallResponse::Acknowledged) {
                     committed.insert(operator);
                 }
--- a/crates/control-simulation/tests/golden.rs
+++ b/crates/control-simulation/tests/golden.rs
@@ -109,7 +109,7 @@
 
 fn request_numbers(request: RequestStep) -> [u64; 4] {
     match request {
-        RequestStep::Put { node, rival } => [1, node as u64, u64::from(rival), 0],
+        RequestStep::Put { node, with_rival } => [1, node as u64, u64::from(with_rival), 0],
         RequestStep::RetryPut { node } => [2, node as u64, 0, 0],
         RequestStep::Evacuate { node, zone } => [3, node as u64, u64::from(zone), 0],
         RequestStep::EndEvacuation { node, zone } => [4, node as u64, u64::from(zone), 0],
@@ -147,8 +147,8 @@
             inbound,
             outbound,
         } => [19, node as u64, u64::from(inbound), u64::from(outbound)],
-        NetworkStep::Split { first } => [20, first as u64, 0, 0],
-        NetworkStep::Partition { one, other } => [21, one as u64, other as u64, 0],
+        NetworkStep::Split { group_size } => [20, group_size as u64, 0, 0],
+        NetworkStep::Partition { node, other } => [21, node as u64, other as u64, 0],
         NetworkStep::Heal => [22, 0, 0, 0],
     }
 }
@@ -158,7 +158,8 @@
     for step in steps {
         digest.numbers(&step_numbers(*step));
     }
-    digest.finish().0
+    let (hash, _) = digest.finish();
+    hash
 }
 
 #[test]
@@ -195,7 +196,7 @@
         Step::Wait { duration_ms: 9_000 },
         Step::Request(RequestStep::Put {
             node: 0,
-            rival: false,
+            with_rival: false,
         }),
         Step::Wait { duration_ms: 2_000 },
         Step::Process(ProcessStep::CrashAll),
@@ -239,7 +240,7 @@
     let balancer = cluster.unsubscribe(1, 1).expect("node 1 has a balancer");
     cluster.isolate(2);
     for change in 0..1_100 {
-        cluster.submit(0, large(change * 2, (change + 1) * 2));
+        cluster.submit(0, large_put(change * 2, (change + 1) * 2));
         cluster.run_for(300);
     }
     cluster.submit(1, patch(2_200, 2_202, &["t"]));
@@ -251,11 +252,11 @@
     cluster.resubscribe(1, 1, balancer);
     cluster.run_for(4_000);
     cluster.register(0, registration("i-1", 2, UpstreamStatus::Draining));
-    let added = cluster.add();
+    let added = cluster.add_node();
     cluster.run_for(10_000);
     cluster.announce_shutdown(3);
     cluster.run_for(600);
-    cluster.remove(3);
+    cluster.remove_node(3);
     cluster.run_for(5_000);
     cluster.wipe_disk(0);
     cluster.run_for(100);
@@ -280,7 +281,7 @@
 
 /// A put of a configuration. If the generation is a multiple of 200, the configuration contains 40
 /// kB of random text, which is hard to compress.
-fn large(base: u64, generation: u64) -> Command {
+fn large_put(base: u64, generation: u64) -> Command {
     let mut document: serde_json::Value = serde_json::from_slice(&configuration(generation, 0))
         .expect("a configuration is valid JSON");
     if generation.is_multiple_of(200) {
--- a/crates/control-simulation/tests/node_losses.rs
+++ b/crates/control-simulation/tests/node_losses.rs
@@ -69,7 +69,7 @@
 }
 
 /// Applies the first loss to a node. Returns the node that replaces it, or the node itself.
-fn apply_first(cluster: &mut Cluster, first: FirstLoss, node: usize) -> usize {
+fn apply_first_loss(cluster: &mut Cluster, first: FirstLoss, node: usize) -> usize {
     match first {
         FirstLoss::Wipe => {
             cluster.wipe_disk(node);
@@ -77,29 +77,30 @@
             node
         }
         FirstLoss::Replace => {
-            cluster.remove(node);
+            cluster.remove_node(node);
             cluster.run_for(1_000);
-            cluster.add()
+            cluster.add_node()
         }
         FirstLoss::ReplacePlanned => {
-            let added = cluster.add();
+            let added = cluster.add_node();
             cluster.run_for(1_000);
             cluster.announce_shutdown(node);
             cluster.run_for(600);
-            cluster.remove(node);
+            cluster.remove_node(node);
             added
         }
     }
 }
 
 /// Applies the second loss to a node, and restarts all nodes except one that stays down.
-fn apply_second(cluster: &mut Cluster, second: SecondLoss, node: usize) {
-    let all: Vec<usize> = (0..cluster.len()).collect();
+fn apply_second_loss(cluster: &mut Cluster, second: SecondLoss, node: usize) {
+    let all_nodes: Vec<usize> = (0..cluster.len()).collect();
     match second {
-        SecondLoss::Power => all.iter().for_each(|node| cluster.crash(*node)),
+        SecondLoss::Power => all_nodes.iter().for_each(|node| cluster.crash(*node)),
         SecondLoss::Wipe => cluster.wipe_disk(node),
         SecondLoss::WipeAndPower => {
-            all.iter()
+            all_nodes
+                .iter()
                 .filter(|other| **other != node)
                 .for_each(|other| cluster.crash(*other));
             cluster.wipe_disk(node);
@@ -109,10 +110,11 @@
             return;
         }
     }
-    all.iter().for_each(|node| cluster.start(*node));
+    all_nodes.iter().for_each(|node| cluster.start(*node));
 }
 
-/// Number of times of the losses to try; `WOADSTALL_SEEDS` overrides the default.
+/// Number of points in time at which each combination of losses is tried; `WOADSTALL_SEEDS`
+/// overrides the default.
 fn steps() -> u64 {
     std::env::var("WOADSTALL_SEEDS")
         .ok()
@@ -147,7 +149,7 @@
             // the command, which is not acknowledged yet.
             cluster.submit(lost, put(5, 6));
             cluster.run_for(step * 13);
-            let repaired = apply_first(&mut cluster, first, lost);
+            let repaired = apply_first_loss(&mut cluster, first, lost);
             let wait_ms = if is_during_repair {
                 step * 120
             } else {
@@ -160,7 +162,7 @@
             let token = cluster.submit(second_lost, put(5, 6));
             cluster.run_for(500);
             let acknowledged = cluster.responses.get(&token) == Some(&CallResponse::Acknowledged);
-            apply_second(&mut cluster, second, second_lost);
+            apply_second_loss(&mut cluster, second, second_lost);
             cluster.run_for(CATCH_UP_MS);
             let running = (0..cluster.len())
                 .find(|node| cluster.process(*node).is_some())
--- a/crates/control-simulation/tests/partitions.rs
+++ b/crates/control-simulation/tests/partitions.rs
@@ -26,10 +26,10 @@
         let isolated = cluster.leader().unwrap();
         let other = (isolated + 1) % 3;
         cluster.isolate(isolated);
-        let unknown = cluster.submit(isolated, put(0, 5));
+        let isolated_put = cluster.submit(isolated, put(0, 5));
         cluster.run_for(5_000);
         assert_eq!(
-            cluster.responses.get(&unknown),
+            cluster.responses.get(&isolated_put),
             Some(&CallResponse::Indeterminate)
         );
         assert_eq!(
@@ -37,10 +37,10 @@
             None,
             "an isolated node cannot know the newest generation"
         );
-        let committed = cluster.submit(other, put(0, 9));
+        let committed_put = cluster.submit(other, put(0, 9));
         cluster.run_for(1_000);
         assert_eq!(
-            cluster.responses.get(&committed),
+            cluster.responses.get(&committed_put),
             Some(&CallResponse::Acknowledged)
         );
         cluster.heal();
@@ -91,9 +91,9 @@
         for second in 0..PARTITION_S {
             let requests = send_all_requests(&mut cluster, isolated, generation, second);
             let node = others[second as usize % 2];
-            let next = cluster.submit(node, put(generation, generation + 2));
+            let next_put = cluster.submit(node, put(generation, generation + 2));
             cluster.run_for(CLIENT_TIMEOUT_MS);
-            if cluster.responses.get(&next) == Some(&CallResponse::Acknowledged) {
+            if cluster.responses.get(&next_put) == Some(&CallResponse::Acknowledged) {
                 generation += 2;
             }
             for token in requests {
--- a/crates/control-simulation/tests/upstreams.rs
+++ b/crates/control-simulation/tests/upstreams.rs
@@ -63,8 +63,8 @@
     // acknowledged.
     cluster.heal();
     cluster.run_for(1_000);
-    let known = cluster.process(0).unwrap().registrations();
-    assert_eq!(known[0].status, UpstreamStatus::Draining);
+    let registrations = cluster.process(0).unwrap().registrations();
+    assert_eq!(registrations[0].status, UpstreamStatus::Draining);
 }
 
 #[test]
@@ -143,11 +143,11 @@
             (0..3).for_each(|node| cluster.start(node));
             cluster.run_for(CATCH_UP_MS);
             for node in 0..3 {
-                let known = cluster.process(node).unwrap().registrations();
+                let registrations = cluster.process(node).unwrap().registrations();
                 assert!(
-                    known[0].status.is_terminating(),
+                    registrations[0].status.is_terminating(),
                     "seed {seed}: node {node} has {:?}",
-                    known[0].status
+                    registrations[0].status
                 );
             }
             assert_invariants(&mut cluster);
@@ -186,9 +186,9 @@
         }
         cluster.run_for(2_000);
         for node in 0..3 {
-            let known = cluster.process(node).unwrap().registrations();
+            let registrations = cluster.process(node).unwrap().registrations();
             assert_eq!(
-                known[0].status,
+                registrations[0].status,
                 UpstreamStatus::Deregistered,
                 "seed {seed}, node {node}"
             );
