--- a/crates/fault-proxy/src/proxy.rs
+++ b/crates/fault-proxy/src/proxy.rs
@@ -19,7 +19,7 @@
 }
 
 impl FaultProxy {
-    /// Creates a set without proxies. All random numbers derive from the seed.
+    /// Creates an instance without proxies. All random numbers derive from the seed.
     pub fn new(seed: u64) -> Self {
         Self {
             state: Arc::new(SharedState::new(seed)),
--- a/crates/fault-proxy/src/schedule.rs
+++ b/crates/fault-proxy/src/schedule.rs
@@ -23,6 +23,7 @@
     }
 }
 
+/// Draws whether an event of this probability occurs.
 fn draw_event(rng: &mut impl Rng, probability: f64) -> bool {
     probability > 0.0 && rng.random::<f64>() < probability
 }
@@ -30,12 +31,12 @@
 /// Transmitter of a link, which sends bytes sequentially at the bandwidth of the link.
 #[derive(Clone, Debug, Default)]
 struct Transmitter {
-    /// Time at which all bytes passed so far have been sent.
+    /// Time at which all bytes queued so far will have been sent.
     idle_at_ns: u64,
 }
 
 impl Transmitter {
-    /// Queues `bytes` bytes and returns the time at which the last byte has been sent.
+    /// Queues `bytes` bytes and returns the time at which the last byte will have been sent.
     fn transmit(&mut self, now_ns: u64, bytes: usize, bytes_per_second: u64) -> u64 {
         if bytes_per_second == 0 {
             return now_ns;
--- a/crates/fault-proxy/src/shared.rs
+++ b/crates/fault-proxy/src/shared.rs
@@ -3,7 +3,7 @@
 
 use crate::schedule::DatagramSchedule;
 use crate::state::{LinkState, NodeId, SharedState};
-use crate::tcp::{ProxyListener, StreamPair};
+use crate::tcp::{LinkPair, ProxyListener};
 use crate::udp::{BUFFER_BYTES, DatagramForwarder};
 use std::collections::HashMap;
 use std::io;
@@ -68,8 +68,8 @@
                 let Some((stream, peer)) = accepted else { continue };
                 // A stream from an unassigned source address does not belong to the test.
                 let Some(from) = state.sender(peer.ip()) else { continue };
-                let pair = StreamPair::new(state.clone(), from, to, target);
-                streams.spawn(pair.forward_after_partition(stream));
+                let links = LinkPair::new(state.clone(), from, to, target);
+                streams.spawn(links.forward_after_partition(stream));
             }
             changed = running.changed() => if changed.is_err() { return },
             Some(_) = streams.join_next() => {}
--- a/crates/fault-proxy/src/tcp/mod.rs
+++ b/crates/fault-proxy/src/tcp/mod.rs
@@ -5,7 +5,7 @@
 mod pair;
 
 pub(crate) use listener::ProxyListener;
-pub(crate) use pair::StreamPair;
+pub(crate) use pair::LinkPair;
 
 use crate::state::{NodeId, SharedState};
 use std::io;
@@ -22,6 +22,6 @@
     let listener = ProxyListener::bind(from.proxy_ip())?;
     let address = listener.address();
     let running = state.watch_running(to);
-    let pair = StreamPair::new(state, from, to, target);
-    Ok((address, pair.accept_streams(listener, running)))
+    let links = LinkPair::new(state, from, to, target);
+    Ok((address, links.accept_streams(listener, running)))
 }
--- a/crates/fault-proxy/src/tcp/pair.rs
+++ b/crates/fault-proxy/src/tcp/pair.rs
@@ -1,4 +1,4 @@
-//! Streams from a client node to a server node.
+//! Forwarding of streams from a client node to a server node, in both directions.
 
 use super::forward::Forwarder;
 use super::listener::ProxyListener;
@@ -16,9 +16,10 @@
 /// Time limit for holding an accepted stream over a partitioned link at a shared listener.
 const PARTITIONED_STREAM_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The links in both directions between a client node and a server node.
+/// The pair of links over which streams from a client node to a server node are forwarded: one per
+/// direction.
 #[derive(Clone)]
-pub(crate) struct StreamPair {
+pub(crate) struct LinkPair {
     state: Arc<SharedState>,
     /// Link from the client to the server.
     to_server_link: watch::Receiver<LinkState>,
@@ -28,7 +29,7 @@
     target: SocketAddr,
 }
 
-impl StreamPair {
+impl LinkPair {
     pub(crate) fn new(
         state: Arc<SharedState>,
         from: NodeId,
@@ -131,7 +132,7 @@
             return;
         };
         set_nodelay(&server);
-        let _open = self.state.counters.open_stream();
+        let _open_stream = self.state.counters.open_stream();
         if !self.forward_both_directions(&client, &server).await {
             // A reset on one side must reach the other side as a reset, not as a regular end.
             client.set_zero_linger().ok();
--- a/crates/fault-proxy/src/udp.rs
+++ b/crates/fault-proxy/src/udp.rs
@@ -29,8 +29,11 @@
 )> {
     // A datagram that arrives at the socket facing one node is sent from the socket facing the
     // other node. Each node therefore receives from the same address that it sends to.
-    let first_socket = Arc::new(UdpSocket::bind(SocketAddr::new(first.0.proxy_ip(), 0)).await?);
-    let second_socket = Arc::new(UdpSocket::bind(SocketAddr::new(second.0.proxy_ip(), 0)).await?);
+    let (first_node, _) = first;
+    let (second_node, _) = second;
+    let first_socket = Arc::new(UdpSocket::bind(SocketAddr::new(first_node.proxy_ip(), 0)).await?);
+    let second_socket =
+        Arc::new(UdpSocket::bind(SocketAddr::new(second_node.proxy_ip(), 0)).await?);
     let addresses = (first_socket.local_addr()?, second_socket.local_addr()?);
     let to_second = forward(
         state.clone(),
--- a/crates/fault-proxy/tests/schedule.rs
+++ b/crates/fault-proxy/tests/schedule.rs
@@ -33,25 +33,26 @@
     #[test]
     fn streams_keep_order_delay_and_bandwidth(seed: u64, segments in prop::collection::vec((0u64..20_000_000, 1usize..20_000, conditions()), 1..60)) {
         let (mut stream, mut rng) = (StreamSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
-        let (mut now, mut last) = (0, 0);
-        for (gap, bytes, conditions) in segments {
-            now += gap;
-            let due = stream.delivery_time_ns(now, bytes, &conditions, &mut rng);
-            let transmission = (bytes as u64 * 1_000_000_000).checked_div(conditions.bytes_per_second).unwrap_or(0);
-            prop_assert!(due >= last && due >= now + conditions.delay.as_nanos() as u64 + transmission);
-            last = due;
+        let (mut now_ns, mut last_delivery_ns) = (0, 0);
+        for (gap_ns, bytes, conditions) in segments {
+            now_ns += gap_ns;
+            let delivery_ns = stream.delivery_time_ns(now_ns, bytes, &conditions, &mut rng);
+            let transmission_ns = (bytes as u64 * 1_000_000_000).checked_div(conditions.bytes_per_second).unwrap_or(0);
+            let earliest_ns = now_ns + conditions.delay.as_nanos() as u64 + transmission_ns;
+            prop_assert!(delivery_ns >= last_delivery_ns && delivery_ns >= earliest_ns);
+            last_delivery_ns = delivery_ns;
         }
     }
 
     /// A datagram is delivered at most twice, and never over a partitioned link.
     #[test]
-    fn datagrams_are_delivered_at_most_twice(seed: u64, conditions in conditions(), duplication in 0.0..1.0f64, now in 0u64..1_000_000_000) {
+    fn datagrams_are_delivered_at_most_twice(seed: u64, conditions in conditions(), duplication in 0.0..1.0f64, now_ns in 0u64..1_000_000_000) {
         let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(seed));
         let conditions = LinkConditions { duplication, ..conditions };
-        let deliveries = datagrams.delivery_times_ns(now, 100, &conditions, &mut rng);
+        let deliveries = datagrams.delivery_times_ns(now_ns, 100, &conditions, &mut rng);
         prop_assert!(deliveries[0].is_some() || deliveries[1].is_none());
         prop_assert!(!conditions.partitioned || deliveries[0].is_none());
-        prop_assert!(deliveries.into_iter().flatten().all(|due| due >= now + conditions.delay.as_nanos() as u64));
+        prop_assert!(deliveries.into_iter().flatten().all(|delivery_ns| delivery_ns >= now_ns + conditions.delay.as_nanos() as u64));
     }
 }
 
@@ -70,12 +71,12 @@
     let (mut datagrams, mut rng) = (DatagramSchedule::default(), ChaCha8Rng::seed_from_u64(7));
     let (mut lost, mut duplicated, mut reordered) = (0, 0, 0);
     for sent in 0..SENT_DATAGRAMS {
-        let now = u64::from(sent) * 1_000_000;
-        match datagrams.delivery_times_ns(now, 100, &conditions, &mut rng) {
+        let now_ns = u64::from(sent) * 1_000_000;
+        match datagrams.delivery_times_ns(now_ns, 100, &conditions, &mut rng) {
             [None, _] => lost += 1,
-            [Some(first), second] => {
-                duplicated += u32::from(second.is_some());
-                reordered += u32::from(first > now + 3_000_000);
+            [Some(first_ns), second_ns] => {
+                duplicated += u32::from(second_ns.is_some());
+                reordered += u32::from(first_ns > now_ns + 3_000_000);
             }
         }
     }
--- a/crates/fault-proxy/tests/sockets.rs
+++ b/crates/fault-proxy/tests/sockets.rs
@@ -31,7 +31,7 @@
     let client = TcpStream::connect(proxy_address).await.unwrap();
     let (server, _) = timeout(TIMEOUT, listener.accept())
         .await
-        .expect("a stream")
+        .expect("the server accepts a stream")
         .unwrap();
     (client, server)
 }
@@ -40,7 +40,7 @@
     let mut bytes = vec![0; length];
     timeout(TIMEOUT, stream.read_exact(&mut bytes))
         .await
-        .expect("bytes")
+        .expect("the bytes arrive")
         .unwrap();
     bytes
 }
@@ -88,7 +88,7 @@
         let mut rest = Vec::new();
         timeout(TIMEOUT, server.read_to_end(&mut rest))
             .await
-            .expect("the end")
+            .expect("the end of the stream arrives")
             .unwrap();
         assert!(
             rest == numbers(8, 72),
@@ -152,15 +152,15 @@
     });
     refused.await.expect("the stream is refused");
     proxy.set_running(B, true);
-    let found = timeout(TIMEOUT, async {
+    let reconnected = timeout(TIMEOUT, async {
         loop {
             match TcpStream::connect(proxy_address).await {
-                Ok(found) => break found,
+                Ok(stream) => break stream,
                 Err(_) => tokio::time::sleep(Duration::from_millis(1)).await,
             }
         }
     });
-    found.await.expect("the restarted node is reachable");
+    reconnected.await.expect("the restarted node is reachable");
 }
 
 /// A reset on one side of a stream reaches the other side as a reset, not as a regular end of
@@ -184,13 +184,13 @@
     assert!(
         timeout(TIMEOUT, client.read(&mut [0; 8]))
             .await
-            .expect("the reset")
+            .expect("the reset arrives")
             .is_err()
     );
     assert!(
         timeout(TIMEOUT, server.read(&mut [0; 8]))
             .await
-            .expect("the reset")
+            .expect("the reset arrives")
             .is_err()
     );
 }
@@ -263,7 +263,7 @@
 async fn receive(socket: &UdpSocket) -> (Vec<u8>, SocketAddr) {
     let mut buffer = [0; 64];
     let received = timeout(TIMEOUT, socket.recv_from(&mut buffer)).await;
-    let (length, from) = received.expect("a datagram").unwrap();
+    let (length, from) = received.expect("a datagram arrives").unwrap();
     (buffer[..length].to_vec(), from)
 }
 
@@ -295,12 +295,12 @@
         .send_to(b"lost", pair.first_proxy_address)
         .await
         .unwrap();
-    let back = b"not lost";
+    let reply = b"not lost";
     pair.second_socket
-        .send_to(back, pair.second_proxy_address)
+        .send_to(reply, pair.second_proxy_address)
         .await
         .unwrap();
-    assert_eq!(receive(&pair.first_socket).await.0, back);
+    assert_eq!(receive(&pair.first_socket).await.0, reply);
     let duplicating = LinkConditions {
         duplication: 1.0,
         ..LinkConditions::default()
