--- a/crates/cluster-test/src/fleet/network.rs
+++ b/crates/cluster-test/src/fleet/network.rs
@@ -31,19 +31,20 @@
                     upstream,
                     direction,
                 };
-                let faults = self.faults_in_force(active, |targets| &targets.upstreams);
+                let faults = self.active_faults_with_targets(active, |targets| &targets.upstreams);
                 links::upstream_link_conditions(&self.scenario, link, faults)
             };
-            let (to, from) = (Direction::ToUpstream, Direction::FromUpstream);
+            let to_upstream = conditions(Direction::ToUpstream);
+            let from_upstream = conditions(Direction::FromUpstream);
             self.network
-                .set_conditions(balancer_node, upstream_node, conditions(to));
+                .set_conditions(balancer_node, upstream_node, to_upstream);
             self.network
-                .set_conditions(upstream_node, balancer_node, conditions(from));
+                .set_conditions(upstream_node, balancer_node, from_upstream);
         }
     }
 
     /// Returns the active faults, each with the targets that `targets_of` selects.
-    fn faults_in_force<'a>(
+    fn active_faults_with_targets<'a>(
         &'a self,
         active: &'a [Option<FaultTargets>],
         targets_of: impl Fn(&FaultTargets) -> &[u32] + 'a,
@@ -60,9 +61,9 @@
         from: usize,
         to: usize,
     ) -> MemberLink {
-        let end = |member: usize| (member as u32, self.balancers[member].placement.zone);
-        let faults = self.faults_in_force(active, |targets| &targets.balancers);
+        let link_end = |member: usize| (member as u32, self.balancers[member].placement.zone);
+        let faults = self.active_faults_with_targets(active, |targets| &targets.balancers);
         self.scenario
-            .member_link(end(from), end(to), self.balancers.len(), faults)
+            .member_link(link_end(from), link_end(to), self.balancers.len(), faults)
     }
 }
--- a/crates/cluster-test/src/membership.rs
+++ b/crates/cluster-test/src/membership.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the time since the start of callers, in nanoseconds.
-    pub fn now(&self) -> u64 {
+    pub fn now_ns(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64
     }
 
@@ -125,9 +125,9 @@
         member.previous_bytes_sent += std::mem::take(&mut member.current_bytes_sent);
         views
             .observer
-            .set_running(self.now(), number as usize, running);
+            .set_running(self.now_ns(), number as usize, running);
         if running {
-            lock(&self.evacuations).balancer_started(self.now(), number as usize);
+            lock(&self.evacuations).balancer_started(self.now_ns(), number as usize);
         }
     }
 
@@ -146,23 +146,23 @@
         let mut views = lock(&self.views);
         views
             .observer
-            .set_paused(self.now(), number as usize, suspended);
+            .set_paused(self.now_ns(), number as usize, suspended);
     }
 
-    /// Sets the conditions of the links among all members. `link` returns the state of the link from one member to
-    /// another.
+    /// Sets the conditions of the links among all members. `link_state` returns the state of the link from one member
+    /// to another.
     pub fn update_links(
         &self,
         network: &FaultProxy,
         scenario: &Scenario,
-        link: impl Fn(usize, usize) -> MemberLink,
+        link_state: impl Fn(usize, usize) -> MemberLink,
     ) {
         let unpowered = lock(&self.unpowered);
         let size = self.addresses.len();
         let mut partitioned = vec![false; size * size];
         for from in 0..size {
             for to in (0..size).filter(|&to| to != from) {
-                let link = link(from, to);
+                let link = link_state(from, to);
                 let (sender, receiver) = (from as u32, to as u32);
                 let is_partitioned = link.partitioned
                     || unpowered.contains(&sender)
@@ -185,6 +185,6 @@
         let mut views = lock(&self.views);
         views
             .observer
-            .partition(self.now(), |from, to| partitioned[from * size + to]);
+            .partition(self.now_ns(), |from, to| partitioned[from * size + to]);
     }
 }
--- a/crates/cluster-test/src/membership/observations.rs
+++ b/crates/cluster-test/src/membership/observations.rs
@@ -16,7 +16,7 @@
 impl Membership {
     /// Records a member's report about itself and the other members.
     pub fn record_report(&self, number: usize, report: Report) {
-        let now = self.now();
+        let now_ns = self.now_ns();
         let mut views = lock(&self.views);
         let MemberViews { observer, reported } = &mut *views;
         if !observer.is_active(number) {
@@ -25,44 +25,45 @@
         reported[number].started_ms = Some(report.started_ms);
         reported[number].current_bytes_sent = report.bytes_sent;
         for row in &report.members {
-            let Some(of) = member_number(&row.name).filter(|of| *of < reported.len()) else {
+            let is_member = |number: &usize| *number < reported.len();
+            let Some(subject) = member_number(&row.name).filter(is_member) else {
                 continue;
             };
-            let state = match reported[of].started_ms {
+            let state = match reported[subject].started_ms {
                 // A member that has just started has not reported its incarnation yet: the row may describe the
                 // previous incarnation.
-                None if observer.is_active(of) => MemberView::Unknown,
+                None if observer.is_active(subject) => MemberView::Unknown,
                 // For a member whose process has ended, the row must describe its last incarnation.
                 started_ms => state_in(row, started_ms),
             };
-            observer.record_view(now, number, of, state);
+            observer.record_view(now_ns, number, subject, state);
         }
         reported[number].last_report = Some(report);
     }
 
     /// Records the share of each zone that a member has evacuated.
     pub fn record_evacuation(&self, number: usize, status: &Status) {
-        let (now, balancer) = (self.now(), number as u32);
-        for place in status.domains.iter() {
-            let Some(zone) = place.name.strip_prefix("zone ") else {
+        let (now_ns, balancer) = (self.now_ns(), number as u32);
+        for domain in status.domains.iter() {
+            let Some(zone) = domain.name.strip_prefix("zone ") else {
                 continue;
             };
-            lock(&self.evacuations).record_zone_share(now, balancer, zone, place.share);
+            lock(&self.evacuations).record_zone_share(now_ns, balancer, zone, domain.share);
         }
     }
 
     /// Compares the partitioned links with the last reports of the members at both ends of each link.
     pub fn record_partitions(&self, is_partitioned: impl Fn(usize, usize) -> bool) {
-        let now = self.now();
+        let now_ns = self.now_ns();
         let mut views = lock(&self.views);
         let MemberViews { observer, reported } = &mut *views;
-        let row = |by: usize, of: usize| {
-            let rows = reported[by]
+        let row = |reporter: usize, subject: usize| {
+            let rows = reported[reporter]
                 .last_report
                 .iter()
                 .flat_map(|report| &report.members);
             rows.into_iter()
-                .find(|row| member_number(&row.name) == Some(of))
+                .find(|row| member_number(&row.name) == Some(subject))
         };
         let partitioned = |path: &PathReport| *path == PathReport::Partitioned;
         let pairs = observer
@@ -73,21 +74,22 @@
             let receiver_reports = row(to, from).is_some_and(|row| partitioned(&row.inbound));
             (is_partitioned(from, to), sender_reports, receiver_reports)
         });
-        observer.record_path_reports(now, observations);
+        observer.record_path_reports(now_ns, observations);
     }
 
     /// Returns the membership results up to now.
     pub fn membership_report(&self) -> MembershipReport {
         let views = lock(&self.views);
-        let sent = |member: &ReportedState| member.previous_bytes_sent + member.current_bytes_sent;
-        let bytes: Vec<u64> = views.reported.iter().map(sent).collect();
-        let now = self.now();
-        views.observer.clone().end(now, &bytes, now)
+        let total_bytes =
+            |member: &ReportedState| member.previous_bytes_sent + member.current_bytes_sent;
+        let bytes_sent: Vec<u64> = views.reported.iter().map(total_bytes).collect();
+        let now_ns = self.now_ns();
+        views.observer.clone().end(now_ns, &bytes_sent, now_ns)
     }
 
     /// Returns the evacuation results up to now.
     pub fn evacuation_report(&self) -> EvacuationReport {
-        lock(&self.evacuations).clone().end(self.now())
+        lock(&self.evacuations).clone().end(self.now_ns())
     }
 
     /// Returns, for each running process, the share of a core that its membership thread has used since the process
--- a/crates/cluster-test/src/membership_poll.rs
+++ b/crates/cluster-test/src/membership_poll.rs
@@ -54,14 +54,14 @@
             _ = ticks.tick() => {}
             Some(result) = pending.join_next() => {
                 if let Ok((number, Some(response))) = result {
-                    record(membership, number, response);
+                    record_response(membership, number, response);
                 }
                 continue;
             }
         }
         while partition_checks
             .front()
-            .is_some_and(|&at| membership.now() >= at)
+            .is_some_and(|&due_ns| membership.now_ns() >= due_ns)
         {
             partition_checks.pop_front();
             record_partitions(&fleet, membership);
@@ -97,7 +97,7 @@
     membership.record_partitions(|from, to| fleet.member_link(&active, from, to).partitioned);
 }
 
-fn record(membership: &Membership, number: usize, response: OperatorResponse) {
+fn record_response(membership: &Membership, number: usize, response: OperatorResponse) {
     match response {
         OperatorResponse::Members(report) => membership.record_report(number, *report),
         OperatorResponse::Evacuation(status) => membership.record_evacuation(number, &status),
@@ -114,19 +114,19 @@
     let Some(admin) = balancer.endpoints.admin else {
         return;
     };
-    let members = get(client.clone(), admin, "/control/instances");
+    let members = get_json(client.clone(), admin, "/control/instances");
     pending.spawn(async move {
         let report = members.await.map(Box::new);
         (number, report.map(OperatorResponse::Members))
     });
     if scenario.evacuation.is_some() {
-        let status = get(client.clone(), admin, "/control/places");
+        let status = get_json(client.clone(), admin, "/control/places");
         pending.spawn(async move { (number, status.await.map(OperatorResponse::Evacuation)) });
     }
 }
 
 /// Requests a JSON document. Returns `None` if the request fails, times out or returns invalid JSON.
-async fn get<T: DeserializeOwned>(
+async fn get_json<T: DeserializeOwned>(
     client: HttpClient,
     address: SocketAddr,
     path: &'static str,
