--- a/crates/cluster-test/src/discovery.rs
+++ b/crates/cluster-test/src/discovery.rs
@@ -66,12 +66,12 @@
     async fn wait_for_processing(&self) -> Result<(), QueueFull> {
         let done = {
             let mut idle_at = lock(&self.idle_at);
-            let begins = (*idle_at).max(Instant::now());
+            let begin = (*idle_at).max(Instant::now());
             let max_wait = Duration::from_nanos(self.service.timeout.0);
-            if begins.elapsed().is_zero() && begins - Instant::now() > max_wait {
+            if begin.elapsed().is_zero() && begin - Instant::now() > max_wait {
                 return Err(QueueFull);
             }
-            *idle_at = begins + Duration::from_secs_f64(1.0 / self.service.reads_per_second);
+            *idle_at = begin + Duration::from_secs_f64(1.0 / self.service.reads_per_second);
             *idle_at
         };
         sleep_until(done.into()).await;
@@ -98,7 +98,7 @@
 }
 
 impl Agent {
-    /// Starts the agent of a balancer with an initial list. Initial reads wait in `queue`, if there is one.
+    /// Starts the agent of a balancer with an initial list. Initial reads wait in `read_queue`, if there is one.
     ///
     /// # Errors
     ///
@@ -107,26 +107,26 @@
         balancer: u32,
         seed: u64,
         initial_list: Vec<Value>,
-        queue: Option<Arc<ReadQueue>>,
+        read_queue: Option<Arc<ReadQueue>>,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let list = watch::Sender::new(EndpointList::new(1, initial_list));
         let unresponsive = watch::Sender::new(false);
         let reads = Arc::new(AtomicU64::new(0));
-        let reader = Reader {
+        let handler = ReadHandler {
             list: list.subscribe(),
             unresponsive: unresponsive.subscribe(),
-            queue,
+            read_queue,
         };
-        let count = reads.clone();
+        let read_count = reads.clone();
         let mut tasks = serve_process(listener, move |request| {
-            count.fetch_add(1, Ordering::Relaxed);
-            let reader = reader.clone();
-            async move { Ok::<_, Infallible>(reader.respond(&request).await) }
+            read_count.fetch_add(1, Ordering::Relaxed);
+            let handler = handler.clone();
+            async move { Ok::<_, Infallible>(handler.respond(&request).await) }
         });
-        let (updates, received) = mpsc::unbounded_channel();
-        tasks.spawn(propagate(received, list.clone()));
+        let (updates, received_updates) = mpsc::unbounded_channel();
+        tasks.spawn(propagate(received_updates, list.clone()));
         let propagation = Mutex::new(Propagation {
             rng: stream(seed, Actor::Registry, balancer),
             last_delivery_at: Instant::now(),
@@ -188,13 +188,13 @@
 
 /// Handler of one read request.
 #[derive(Clone)]
-struct Reader {
+struct ReadHandler {
     list: watch::Receiver<EndpointList>,
     unresponsive: watch::Receiver<bool>,
-    queue: Option<Arc<ReadQueue>>,
+    read_queue: Option<Arc<ReadQueue>>,
 }
 
-impl Reader {
+impl ReadHandler {
     async fn respond(mut self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         if request.uri().path() != "/v1/servers" {
             return empty_response(StatusCode::NOT_FOUND);
@@ -204,7 +204,7 @@
         let wait = query_parameter(request, "wait_ms")
             .and_then(|wait| wait.parse().ok())
             .map_or(Duration::ZERO, Duration::from_millis);
-        if let (Some(queue), None) = (self.queue, after)
+        if let (Some(queue), None) = (self.read_queue, after)
             && queue.wait_for_processing().await.is_err()
         {
             return empty_response(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/cluster-test/src/fleet.rs
+++ b/crates/cluster-test/src/fleet.rs
@@ -55,14 +55,20 @@
     pub membership: Option<Membership>,
     /// Index of the first upstream of each tier, followed by the total number of upstreams.
     tier_bounds: Vec<usize>,
-    /// All published endpoint lists with their publication times, oldest first.
-    list_history: Mutex<Vec<(Instant, Vec<Listing>)>>,
+    /// All published endpoint lists, oldest first. The list at index 0 has revision 1.
+    list_history: Mutex<Vec<PublishedList>>,
     /// Number of active faults that make the agents unresponsive.
     unresponsive_faults: Mutex<u32>,
     violation: Option<RuleViolation>,
     _violating_proxies: Vec<ViolatingProxy>,
 }
 
+/// An endpoint list of all upstreams that was published to the agents.
+struct PublishedList {
+    published_at: Instant,
+    listings: Vec<Listing>,
+}
+
 /// Numbers of running balancers and upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningCounts {
@@ -105,7 +111,7 @@
     }
 
     /// Counts the balancers that are open for callers and the upstreams that are alive.
-    pub fn running(&self) -> RunningCounts {
+    pub fn running_counts(&self) -> RunningCounts {
         let balancers = self.balancers.iter().filter(|balancer| balancer.is_open());
         let upstreams = self.upstreams.iter();
         RunningCounts {
--- a/crates/cluster-test/src/fleet/endpoint_list.rs
+++ b/crates/cluster-test/src/fleet/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list of the upstreams and its publication to the discovery agents.
 
-use super::Fleet;
+use super::{Fleet, PublishedList};
 use crate::balancer::Balancer;
 use crate::rule_violation::RuleViolation;
 use serde_json::Value;
@@ -18,12 +18,12 @@
     }
 
     /// Returns the list entries for a balancer, with the proxy addresses and the clock offset of this balancer.
-    pub(super) fn list_for(&self, balancer: &Balancer, list: &[Listing]) -> Vec<Value> {
+    pub(super) fn list_entries_for(&self, balancer: &Balancer, listings: &[Listing]) -> Vec<Value> {
         self.list_entries(
             balancer.placement.tier,
             &balancer.endpoints.upstreams,
             balancer.clock_offset_ms,
-            list,
+            listings,
         )
     }
 
@@ -34,52 +34,55 @@
         tier: usize,
         addresses: &[SocketAddr],
         clock_offset_ms: i64,
-        list: &[Listing],
+        listings: &[Listing],
     ) -> Vec<Value> {
-        let of_tier = &list[self.tier_bounds[tier]..self.tier_bounds[tier + 1]];
+        let tier_listings = &listings[self.tier_bounds[tier]..self.tier_bounds[tier + 1]];
         let entry = |(listing, address): (&Listing, &SocketAddr)| {
             listing
                 .for_clock(clock_offset_ms)
                 .entry(&self.scenario.zones, *address)
         };
-        of_tier.iter().zip(addresses).map(entry).collect()
+        tier_listings.iter().zip(addresses).map(entry).collect()
     }
 
     /// Publishes the current list to all agents. Returns the time at which the list reaches the last agent.
     fn publish_list(&self) -> Instant {
-        let list = self.listings();
+        let listings = self.listings();
         let revision = {
             let mut history = lock(&self.list_history);
-            history.push((Instant::now(), list.clone()));
+            history.push(PublishedList {
+                published_at: Instant::now(),
+                listings: listings.clone(),
+            });
             history.len() as u64
         };
-        let due = self.balancers.iter().map(|balancer| {
+        let delivery_times = self.balancers.iter().map(|balancer| {
             if self.has_stale_lists(balancer) {
                 return Instant::now();
             }
-            let entries = self.list_for(balancer, &list);
+            let entries = self.list_entries_for(balancer, &listings);
             balancer
                 .agent
                 .publish(revision, entries, &self.scenario.registry)
         });
-        due.max().unwrap_or_else(Instant::now)
+        delivery_times.max().unwrap_or_else(Instant::now)
     }
 
     /// Whether [`RuleViolation::StaleLists`] withholds new lists from a balancer's agent. It does so for the first half
     /// of the balancers; this half has balancers in every zone.
     fn has_stale_lists(&self, balancer: &Balancer) -> bool {
-        let half = self.balancers.len() as u32 / 2;
-        self.violation == Some(RuleViolation::StaleLists) && balancer.placement.number < half
+        let stale_count = self.balancers.len() as u32 / 2;
+        self.violation == Some(RuleViolation::StaleLists) && balancer.placement.number < stale_count
     }
 
     /// Changes the listed state of an upstream and publishes the list.
     pub fn set_listed_state(&self, upstream: u32, state: &'static str) {
         let upstream = &self.upstreams[upstream as usize];
         upstream.set_listed_state(state, None);
-        let due = self.publish_list();
+        let delivered_at = self.publish_list();
         // Unresponsive agents deliver no list, so balancers do not count as notified of the drain.
         if state == TERMINATING && *lock(&self.unresponsive_faults) == 0 {
-            upstream.set_listed_state(state, Some(due));
+            upstream.set_listed_state(state, Some(delivered_at));
         }
     }
 
--- a/crates/cluster-test/src/fleet/lifecycle.rs
+++ b/crates/cluster-test/src/fleet/lifecycle.rs
@@ -18,7 +18,7 @@
 /// A published endpoint list with its revision number.
 struct Revision {
     number: u64,
-    list: Vec<Listing>,
+    listings: Vec<Listing>,
 }
 
 impl Fleet {
@@ -88,11 +88,11 @@
         let (mut starting, mut notified_at) = (JoinSet::new(), Instant::now());
         for &number in numbers {
             let balancer = self.balancers[number as usize].clone();
-            let initial_list = self.list_for(&balancer, &stale.list);
+            let initial_list = self.list_entries_for(&balancer, &stale.listings);
             if stale.number < last.number {
                 // The agent is reset to the stale list as well and receives the current list after the usual delay.
                 balancer.agent.reset(stale.number, initial_list.clone());
-                let entries = self.list_for(&balancer, &last.list);
+                let entries = self.list_entries_for(&balancer, &last.listings);
                 let registry = &self.scenario.registry;
                 notified_at =
                     notified_at.max(balancer.agent.publish(last.number, entries, registry));
@@ -113,18 +113,18 @@
 
     /// Returns the list that was current `staleness` ago, and the current list.
     fn stale_and_last_list(&self, staleness: Duration) -> (Revision, Revision) {
-        let then = Instant::now()
+        let stale_time = Instant::now()
             .checked_sub(staleness)
             .unwrap_or(self.schedule.start);
         let history = lock(&self.list_history);
         let revision = |index: usize| Revision {
             number: index as u64 + 1,
-            list: history[index].1.clone(),
+            listings: history[index].listings.clone(),
         };
-        let stale = history
-            .partition_point(|(since, _)| *since <= then)
+        let stale_index = history
+            .partition_point(|list| list.published_at <= stale_time)
             .saturating_sub(1);
-        (revision(stale), revision(history.len() - 1))
+        (revision(stale_index), revision(history.len() - 1))
     }
 
     /// Writes the membership files of a balancer and records that its process runs.
--- a/crates/cluster-test/src/fleet/start.rs
+++ b/crates/cluster-test/src/fleet/start.rs
@@ -1,6 +1,6 @@
 //! Start-up of a fleet. Upstreams, agents and proxies start before the balancers that connect to them.
 
-use super::Fleet;
+use super::{Fleet, PublishedList};
 use crate::balancer::{Balancer, Endpoints};
 use crate::discovery::{Agent, ReadQueue};
 use crate::error::ClusterError;
@@ -42,7 +42,7 @@
 
 /// Tier, zone and sidecar relation of a balancer that has no address yet.
 #[derive(Clone, Copy)]
-struct Position {
+struct BalancerPosition {
     tier: usize,
     zone: u8,
     /// Index of the upstream whose sidecar the balancer is; `None` for other balancers.
@@ -96,7 +96,10 @@
             active_faults: Mutex::new(vec![None; scenario.fault.len()]),
             membership: None,
             tier_bounds,
-            list_history: Mutex::new(vec![(Instant::now(), first_list)]),
+            list_history: Mutex::new(vec![PublishedList {
+                published_at: Instant::now(),
+                listings: first_list,
+            }]),
             unresponsive_faults: Mutex::new(0),
             violation: settings.violation,
             _violating_proxies: Vec::new(),
@@ -110,11 +113,11 @@
         proxies: &mut Vec<ViolatingProxy>,
     ) -> Result<(), ClusterError> {
         let service = self.scenario.registry.queries.clone();
-        let queue = service.map(|service| Arc::new(ReadQueue::new(service)));
-        for position in self.positions() {
+        let read_queue = service.map(|service| Arc::new(ReadQueue::new(service)));
+        for position in self.balancer_positions() {
             let number = self.balancers.len() as u32;
             let balancer = self
-                .prepare_balancer(number, position, targets, queue.clone(), proxies)
+                .prepare_balancer(number, position, targets, read_queue.clone(), proxies)
                 .await
                 .map_err(|source| ClusterError::PrepareBalancer { number, source })?;
             self.balancers.push(Arc::new(balancer));
@@ -123,11 +126,11 @@
     }
 
     /// Returns the positions of all balancers, in the order of the emulator's numbering.
-    fn positions(&self) -> Vec<Position> {
+    fn balancer_positions(&self) -> Vec<BalancerPosition> {
         let (scenario, mut positions) = (&self.scenario, Vec::new());
         for (index, tier) in scenario.tier.iter().enumerate() {
             if !tier.sidecar {
-                positions.extend((0..tier.balancers).map(|number| Position {
+                positions.extend((0..tier.balancers).map(|number| BalancerPosition {
                     tier: index,
                     zone: scenario.zone_in_turn(number),
                     sidecar_of: None,
@@ -139,7 +142,7 @@
             };
             let sidecars = self
                 .upstreams_of_tier(calling_tier)
-                .map(|upstream| Position {
+                .map(|upstream| BalancerPosition {
                     tier: index,
                     zone: self.upstreams[upstream as usize].listing().zone,
                     sidecar_of: Some(upstream),
@@ -152,12 +155,12 @@
     async fn prepare_balancer(
         &self,
         number: u32,
-        position: Position,
+        position: BalancerPosition,
         targets: &[SocketAddr],
-        queue: Option<Arc<ReadQueue>>,
+        read_queue: Option<Arc<ReadQueue>>,
         proxies: &mut Vec<ViolatingProxy>,
     ) -> std::io::Result<Balancer> {
-        let Position { tier, zone, .. } = position;
+        let BalancerPosition { tier, zone, .. } = position;
         let node = links::balancer_node(number);
         let listen = balancer_address(number).await?;
         let mut upstreams = Vec::new();
@@ -168,7 +171,7 @@
         }
         let clock_offset_ms = self.clock_offset_ms(number);
         let first_list = self.list_entries(tier, &upstreams, clock_offset_ms, &self.listings());
-        let agent = Agent::start(number, self.seed, first_list, queue).await?;
+        let agent = Agent::start(number, self.seed, first_list, read_queue).await?;
         let agent_address = self
             .network
             .proxy_tcp(node, links::agent_node(number), agent.address)
@@ -208,7 +211,7 @@
     async fn proxy_callers(
         &self,
         number: u32,
-        position: Position,
+        position: BalancerPosition,
         listen: SocketAddr,
         proxies: &mut Vec<ViolatingProxy>,
     ) -> std::io::Result<BalancerEndpoint> {
--- a/crates/cluster-test/src/run/observer.rs
+++ b/crates/cluster-test/src/run/observer.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 struct TimerCounts {
     ticks: u64,
-    late: u64,
+    late_ticks: u64,
 }
 
 /// Collects samples and failures during a run.
@@ -81,7 +81,7 @@
 
     fn end_step(&self, longest_queue: u32, log_offsets: &mut [u64]) {
         let (tier_speeds, attempts) = self.fleet.sample_upstreams();
-        let running = self.fleet.running();
+        let running = self.fleet.running_counts();
         let mut log_lines = BTreeMap::new();
         for (balancer, offset) in self.fleet.balancers.iter().zip(log_offsets) {
             balancer.record_memory();
@@ -117,14 +117,14 @@
             sleep(TIMER_PERIOD).await;
             let mut timer = lock(&self.timer);
             timer.ticks += 1;
-            timer.late += u64::from(due.elapsed() > TIMER_TOLERANCE);
+            timer.late_ticks += u64::from(due.elapsed() > TIMER_TOLERANCE);
         }
     }
 
     /// Returns the share of timer ticks that were late, from 0 to 1.
     pub fn late_timer_share(&self) -> f64 {
         let timer = lock(&self.timer);
-        timer.late as f64 / timer.ticks.max(1) as f64
+        timer.late_ticks as f64 / timer.ticks.max(1) as f64
     }
 
     /// Removes and returns the samples of all steps so far.
