--- a/crates/cluster-test/src/balancer.rs
+++ b/crates/cluster-test/src/balancer.rs
@@ -99,7 +99,7 @@
         seed: u64,
         initial_list: &[Value],
     ) -> Result<(), ClusterError> {
-        let failed = |source| ClusterError::Process {
+        let process_error = |source| ClusterError::Process {
             process: self.process.name.clone(),
             source,
         };
@@ -111,9 +111,12 @@
         if let Some(admin) = self.endpoints.admin {
             config["admin"] = admin.to_string().into();
         }
-        std::fs::write(self.process.config(), config.to_string()).map_err(failed)?;
+        std::fs::write(self.process.config(), config.to_string()).map_err(process_error)?;
         self.expected_running.store(true, Ordering::Relaxed);
-        self.process.start(run_directory).await.map_err(failed)?;
+        self.process
+            .start(run_directory)
+            .await
+            .map_err(process_error)?;
         self.wait_until_ready().await?;
         if self.is_expected_to_run() {
             self.set_open(true);
--- a/crates/cluster-test/src/faults/power_loss.rs
+++ b/crates/cluster-test/src/faults/power_loss.rs
@@ -62,10 +62,10 @@
         upstreams: &[u32],
         window: Duration,
     ) -> Result<(), ClusterError> {
-        let end = fault.until.unwrap_or(self.scenario.duration).0;
+        let end_ns = fault.until.unwrap_or(self.scenario.duration).0;
         for (index, &upstream) in upstreams.iter().enumerate() {
-            let delay = window.as_nanos() as u64 * index as u64 / upstreams.len() as u64;
-            self.schedule.wait_until(end + delay).await;
+            let delay_ns = window.as_nanos() as u64 * index as u64 / upstreams.len() as u64;
+            self.schedule.wait_until(end_ns + delay_ns).await;
             self.restart_upstream(upstream).await?;
         }
         Ok(())
--- a/crates/cluster-test/src/faults/rolling.rs
+++ b/crates/cluster-test/src/faults/rolling.rs
@@ -25,9 +25,9 @@
         let count = targets.upstreams.len();
         for (index, &upstream) in targets.upstreams.iter().enumerate() {
             let fleet = self.clone();
-            let begins = self.schedule.slot_begin(fault, 2, index, count);
+            let begin_ns = self.schedule.slot_begin(fault, 2, index, count);
             restarts.spawn(async move {
-                fleet.schedule.wait_until(begins).await;
+                fleet.schedule.wait_until(begin_ns).await;
                 fleet.set_listed_state(upstream, TERMINATING);
                 fleet.schedule.drain().await;
                 fleet.kill_upstream(upstream);
@@ -48,9 +48,9 @@
         let count = targets.balancers.len();
         for (index, &number) in targets.balancers.iter().enumerate() {
             let fleet = self.clone();
-            let begins = self.schedule.slot_begin(fault, 1, index, count);
+            let begin_ns = self.schedule.slot_begin(fault, 1, index, count);
             restarts.spawn(async move {
-                fleet.schedule.wait_until(begins).await;
+                fleet.schedule.wait_until(begin_ns).await;
                 let longest_call = Duration::from_nanos(fleet.scenario.longest_deadline().0);
                 let balancer = &fleet.balancers[number as usize];
                 balancer.shut_down(longest_call + SHUTDOWN_MARGIN).await;
--- a/crates/cluster-test/src/ports.rs
+++ b/crates/cluster-test/src/ports.rs
@@ -29,8 +29,8 @@
     let [_, _, high, low] = number.to_be_bytes();
     // Concurrent runs on one machine use different IP addresses, so that no other run takes a free port before the
     // balancer binds it.
-    let run = 80 + (std::process::id() % 170) as u8;
-    let ip = Ipv4Addr::new(127, run, high, low.wrapping_add(1));
+    let run_octet = 80 + (std::process::id() % 170) as u8;
+    let ip = Ipv4Addr::new(127, run_octet, high, low.wrapping_add(1));
     free_port(IpAddr::V4(ip), PortPurpose::Calls).await
 }
 
@@ -39,10 +39,10 @@
 /// # Errors
 ///
 /// If no port is free, or the address cannot be bound for another reason.
-pub async fn free_port(ip: IpAddr, port: PortPurpose) -> io::Result<SocketAddr> {
-    let first = port as u16 + (std::process::id() % u32::from(CANDIDATE_PORTS)) as u16;
-    for candidate in first..first + CANDIDATE_PORTS {
-        match TcpListener::bind((ip, candidate)).await {
+pub async fn free_port(ip: IpAddr, purpose: PortPurpose) -> io::Result<SocketAddr> {
+    let first_port = purpose as u16 + (std::process::id() % u32::from(CANDIDATE_PORTS)) as u16;
+    for port in first_port..first_port + CANDIDATE_PORTS {
+        match TcpListener::bind((ip, port)).await {
             Ok(listener) => return listener.local_addr(),
             Err(error) if error.kind() != io::ErrorKind::AddrInUse => return Err(error),
             Err(_) => {}
--- a/crates/cluster-test/src/process.rs
+++ b/crates/cluster-test/src/process.rs
@@ -131,12 +131,12 @@
             .seek(SeekFrom::Start(*offset))
             .and_then(|_| log.read_to_string(&mut text));
         // An incomplete last line is left for the next call.
-        let complete = read
+        let complete_bytes = read
             .ok()
             .and_then(|_| text.rfind('\n'))
             .map_or(0, |end| end + 1);
-        *offset += complete as u64;
-        for line in text[..complete].lines() {
+        *offset += complete_bytes as u64;
+        for line in text[..complete_bytes].lines() {
             let line = line.strip_prefix("woadstall: ").unwrap_or(line);
             let topic = line.split(' ').next().unwrap_or_default();
             *counts.entry(topic.to_owned()).or_default() += 1;
--- a/crates/cluster-test/src/results/compare.rs
+++ b/crates/cluster-test/src/results/compare.rs
@@ -76,8 +76,8 @@
 ///
 /// If the rows belong to different scenarios, or a row has no timeline.
 pub fn compare(emulator: &Row, processes: &Row) -> Result<Comparison, CompareError> {
-    let scenario = |row: &Row| (row.key.scenario.clone(), row.key.digest.clone());
-    if scenario(emulator) != scenario(processes) {
+    let scenario_version = |row: &Row| (row.key.scenario.clone(), row.key.digest.clone());
+    if scenario_version(emulator) != scenario_version(processes) {
         return Err(CompareError::DifferentScenarios {
             emulator: emulator.key.scenario.clone(),
             processes: processes.key.scenario.clone(),
--- a/crates/cluster-test/src/results/text.rs
+++ b/crates/cluster-test/src/results/text.rs
@@ -14,58 +14,66 @@
     text
 }
 
-fn write_result(out: &mut String, result: &ClusterResult, row: &Row) -> fmt::Result {
+fn write_result(output: &mut String, result: &ClusterResult, row: &Row) -> fmt::Result {
     let run_result = &result.run_result;
     let balancers = result.balancer_count;
     let (scenario, seed, set) = (&row.key.scenario, row.key.seed, row.set());
-    writeln!(out, "{scenario}, {balancers} balancers, seed {seed} {set}")?;
-    write_calls(out, result)?;
-    write_processes(out, result)?;
+    writeln!(
+        output,
+        "{scenario}, {balancers} balancers, seed {seed} {set}"
+    )?;
+    write_calls(output, result)?;
+    write_processes(output, result)?;
     if let Some(members) = &run_result.members {
-        write_members(out, members, &result.membership_core_shares)?;
+        write_members(output, members, &result.membership_core_shares)?;
     }
     if let Some(evacuated) = &run_result.evacuation {
-        write_evacuations(out, evacuated)?;
+        write_evacuations(output, evacuated)?;
     }
     for line in report::rule_lines(run_result) {
-        writeln!(out, "{line}")?;
+        writeln!(output, "{line}")?;
     }
     for breach in &run_result.first_breaches {
-        writeln!(out, "    {:.3} s: {}", breach.at as f64 / 1e9, breach.text)?;
+        writeln!(
+            output,
+            "    {:.3} s: {}",
+            breach.at as f64 / 1e9,
+            breach.text
+        )?;
     }
     for failure in &result.failures {
-        writeln!(out, "  CRASHED: {failure}")?;
+        writeln!(output, "  CRASHED: {failure}")?;
     }
     Ok(())
 }
 
-fn write_calls(out: &mut String, result: &ClusterResult) -> fmt::Result {
+fn write_calls(output: &mut String, result: &ClusterResult) -> fmt::Result {
     let (counts, latency) = (&result.run_result.counts, &result.run_result.latency);
     writeln!(
-        out,
+        output,
         "  worth served   {:.3} of what was offered",
         result.run_result.served_value_fraction
     )?;
     writeln!(
-        out,
+        output,
         "  calls          {} offered, {} on time, {} late, {} refused, {} failed",
         counts.offered, counts.on_time, counts.late, counts.refused, counts.failed
     )?;
     writeln!(
-        out,
+        output,
         "  attempts       {} for {} requests",
         counts.attempts, counts.requests
     )?;
     writeln!(
-        out,
+        output,
         "  latency        p50 {:.0} ms, p90 {:.0}, p99 {:.0}, longest {:.0}",
         latency.p50, latency.p90, latency.p99, latency.max
     )
 }
 
-fn write_processes(out: &mut String, result: &ClusterResult) -> fmt::Result {
+fn write_processes(output: &mut String, result: &ClusterResult) -> fmt::Result {
     writeln!(
-        out,
+        output,
         "  processes      {} starts, up after {:.1} s, {} kB of memory at most, {} on average",
         result.process_starts,
         result.startup_time.as_secs_f64(),
@@ -73,21 +81,21 @@
         mean(&result.peak_memory_kb)
     )?;
     writeln!(
-        out,
+        output,
         "  paid           {} connections through the fabric, {} kB, {} list reads",
         result.traffic.streams_opened,
         result.traffic.stream_bytes / 1_000,
         result.list_reads
     )?;
     writeln!(
-        out,
+        output,
         "  unanswered     {}, of these and late ones {} at stopped balancers; {} ran twice",
         result.unanswered_requests,
         result.overdue_requests_at_suspended,
         result.requests_executed_twice
     )?;
     writeln!(
-        out,
+        output,
         "  the rig itself {} of {} calls late, {:.1}% of its timers, a balancer without a core {:.1}% of its time",
         result.lag.late,
         result.lag.calls,
@@ -96,37 +104,42 @@
     )
 }
 
-fn write_members(out: &mut String, members: &MembershipReport, cores: &[f64]) -> fmt::Result {
+fn write_members(
+    output: &mut String,
+    members: &MembershipReport,
+    core_shares: &[f64],
+) -> fmt::Result {
     let known = &members.known_by_all_ms;
+    let (mean_bytes_per_second, max_bytes_per_second) = members.bytes_per_second;
     writeln!(
-        out,
+        output,
         "  members        {} false deaths; {} deaths, known by all after {:.0} ms (p50), {:.0} at most, {} never",
         members.false_deaths, members.deaths, known.p50, known.max, members.never_known
     )?;
-    let mean_cores = cores.iter().sum::<f64>() / cores.len().max(1) as f64;
-    let max_cores = cores.iter().copied().fold(0.0, f64::max);
+    let mean_core_share = core_shares.iter().sum::<f64>() / core_shares.len().max(1) as f64;
+    let max_core_share = core_shares.iter().copied().fold(0.0, f64::max);
     writeln!(
-        out,
+        output,
         "                 {:.0} bytes/s each, {:.0} at most; {:.2}% of a core, {:.2}% at most",
-        members.bytes_per_second.0,
-        members.bytes_per_second.1,
-        100.0 * mean_cores,
-        100.0 * max_cores
+        mean_bytes_per_second,
+        max_bytes_per_second,
+        100.0 * mean_core_share,
+        100.0 * max_core_share
     )?;
     for detail in &members.false_death_details {
-        writeln!(out, "    {detail}")?;
+        writeln!(output, "    {detail}")?;
     }
     Ok(())
 }
 
-fn write_evacuations(out: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
+fn write_evacuations(output: &mut String, evacuated: &EvacuationReport) -> fmt::Result {
     let diverted_zones: Vec<String> = evacuated
         .diverted_share_seconds
         .iter()
         .map(|(zone, seconds)| format!("{zone} {seconds:.1}"))
         .collect();
     writeln!(
-        out,
+        output,
         "  left           {} moves; seconds without, a balancer: {}",
         evacuated.share_changes,
         diverted_zones.join(", ")
--- a/crates/cluster-test/src/rule_violation.rs
+++ b/crates/cluster-test/src/rule_violation.rs
@@ -87,11 +87,11 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let client: HttpClient = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-        let count = Arc::new(AtomicU64::new(0));
+        let request_count = Arc::new(AtomicU64::new(0));
         let tasks = serve_process(listener, move |request| {
-            let (client, count) = (client.clone(), count.clone());
+            let (client, request_count) = (client.clone(), request_count.clone());
             async move {
-                let number = count.fetch_add(1, Ordering::Relaxed);
+                let number = request_count.fetch_add(1, Ordering::Relaxed);
                 let is_dropped = number % DROP_INTERVAL == DROP_INTERVAL - 1;
                 if violation == RuleViolation::DropRequests && is_dropped {
                     return std::future::pending().await;
