--- a/crates/cluster-test/tests/common/mod.rs
+++ b/crates/cluster-test/tests/common/mod.rs
@@ -73,11 +73,11 @@
     })
 }
 
-/// Creates a temporary directory with the small scenario, which lasts `seconds` and is extended by `more`. The run also
-/// keeps its temporary files there.
-pub fn scenario_folder(seconds: u32, more: &str) -> tempfile::TempDir {
+/// Creates a temporary directory with the small scenario, which lasts `seconds` and is extended by the TOML text
+/// `additions`. The run also keeps its temporary files there.
+pub fn scenario_folder(seconds: u32, additions: &str) -> tempfile::TempDir {
     let small = SMALL_SCENARIO.replace("time = \"4 s\"", &format!("time = \"{seconds} s\""));
-    folder_with(&(small + more))
+    folder_with(&(small + additions))
 }
 
 /// Creates a temporary directory with a scenario file.
@@ -102,14 +102,14 @@
     command
 }
 
-/// Returns the command that executes the scenario in `folder` and prints JSON.
-pub fn run_command(folder: &Path, more: &[&str]) -> Command {
+/// Returns the command that executes the scenario in `folder` and prints JSON, with `extra_arguments` at the end.
+pub fn run_command(folder: &Path, extra_arguments: &[&str]) -> Command {
     let program = program().to_str().unwrap();
     command(
         folder,
         &[
             &["run", "scenario.toml", "--json", "--program", program],
-            more,
+            extra_arguments,
         ]
         .concat(),
     )
@@ -130,9 +130,9 @@
     result
 }
 
-/// Executes the small scenario, which lasts `seconds` and is extended by `more`.
-pub fn run_scenario(seconds: u32, more: &str, arguments: &[&str]) -> Value {
-    run_in(&scenario_folder(seconds, more), arguments)
+/// Executes the small scenario, which lasts `seconds` and is extended by the TOML text `additions`.
+pub fn run_scenario(seconds: u32, additions: &str, arguments: &[&str]) -> Value {
+    run_in(&scenario_folder(seconds, additions), arguments)
 }
 
 /// Executes the scenario in `folder`. Checks that a passed run has removed its run directory; a failed run keeps the
@@ -147,17 +147,18 @@
 
 /// Returns the existing run directories below `folder`.
 pub fn run_folders(folder: &Path) -> Vec<PathBuf> {
-    let all = std::fs::read_dir(folder)
+    let entries = std::fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path());
-    all.filter(|path| {
-        path.file_name()
-            .unwrap()
-            .to_str()
-            .unwrap()
-            .starts_with("woadstall-rig-")
-    })
-    .collect()
+    entries
+        .filter(|path| {
+            path.file_name()
+                .unwrap()
+                .to_str()
+                .unwrap()
+                .starts_with("woadstall-rig-")
+        })
+        .collect()
 }
 
 /// Returns the identifiers of the processes that a run has recorded as started.
--- a/crates/cluster-test/tests/evacuation.rs
+++ b/crates/cluster-test/tests/evacuation.rs
@@ -17,7 +17,7 @@
 #[test]
 fn an_unresponsive_zone_is_evacuated_by_all_processes() {
     let _exclusive = run_exclusively();
-    let more = r#"
+    let additions = r#"
 [members]
 
 [evacuation]
@@ -47,7 +47,7 @@
 what = { stays = { zone = "b", from = "0 s", until = "20 s", most = 0.0 } }
 
 "#;
-    let result = run_scenario(20, more, &NINE_IN_THREE_ZONES);
+    let result = run_scenario(20, additions, &NINE_IN_THREE_ZONES);
     assert_passed(&result);
     assert!(
         result["evacuated"]["moves"].as_u64().unwrap() >= 9,
@@ -61,7 +61,7 @@
 #[test]
 fn errors_in_all_zones_cause_no_evacuation() {
     let _exclusive = run_exclusively();
-    let more = r#"
+    let additions = r#"
 [members]
 
 [evacuation]
@@ -86,5 +86,5 @@
 what = { stays = { zone = "b", from = "0 s", until = "14 s", most = 0.12 } }
 
 "#;
-    assert_passed(&run_scenario(14, more, &NINE_IN_THREE_ZONES));
+    assert_passed(&run_scenario(14, additions, &NINE_IN_THREE_ZONES));
 }
--- a/crates/cluster-test/tests/membership.rs
+++ b/crates/cluster-test/tests/membership.rs
@@ -135,9 +135,9 @@
 #[test]
 fn floods_of_datagrams_change_no_membership() {
     let _exclusive = run_exclusively();
-    let more = "\n[members]\n\n[[bound]]\nname = \"no false deaths\"\nwhat = { false-deaths = { most = 0 } }\n\
+    let additions = "\n[members]\n\n[[bound]]\nname = \"no false deaths\"\nwhat = { false-deaths = { most = 0 } }\n\
         [[bound]]\nname = \"members agree\"\nwhat = { together = { from = \"9 s\", within = \"2 s\" } }\n";
-    let folder = scenario_folder(12, more);
+    let folder = scenario_folder(12, additions);
     let run = run_command(folder.path(), &EIGHT_BALANCERS)
         .spawn()
         .unwrap();
--- a/crates/cluster-test/tests/processes.rs
+++ b/crates/cluster-test/tests/processes.rs
@@ -33,9 +33,9 @@
         processes["up-after-s"].as_f64().unwrap() < 10.0,
         "{processes}"
     );
-    let step = |at: usize| result["steps"][at]["up"].clone();
+    let running_at_step = |index: usize| result["steps"][index]["up"].clone();
     assert_eq!(
-        (step(1), step(4)),
+        (running_at_step(1), running_at_step(4)),
         (serde_json::json!([20, 30]), serde_json::json!([40, 60]))
     );
     assert!(
@@ -70,9 +70,10 @@
     let _exclusive = run_exclusively();
     let mut faults = String::from("\n[clocks]\noffset = \"1 h\"\n");
     let kinds = ["kept", "lost", "torn", "empty", "stranger"];
-    for (at, files) in kinds.into_iter().enumerate() {
-        let (at, until) = (600 * at + 500, 600 * at + 700);
-        faults += &format!("[[fault]]\nat = \"{at} ms\"\nuntil = \"{until} ms\"\npart = 0.5\n");
+    for (index, files) in kinds.into_iter().enumerate() {
+        let (begin_ms, end_ms) = (600 * index + 500, 600 * index + 700);
+        faults +=
+            &format!("[[fault]]\nat = \"{begin_ms} ms\"\nuntil = \"{end_ms} ms\"\npart = 0.5\n");
         faults += &format!("what = {{ restart = {{ stale = \"1 s\", files = \"{files}\" }} }}\n");
     }
     let result = run_scenario(5, &faults, &[]);
@@ -90,7 +91,7 @@
 #[test]
 fn no_process_outlives_its_run() {
     let _exclusive = run_exclusively();
-    for (signal, started) in [
+    for (signal, min_started) in [
         (Signal::SIGTERM, 4),
         (Signal::SIGINT, 2),
         (Signal::SIGKILL, 1),
@@ -101,14 +102,14 @@
         wait_until("the processes are started", || {
             run_folders(folder.path())
                 .first()
-                .is_some_and(|run| recorded_pids(run).len() >= started)
+                .is_some_and(|run| recorded_pids(run).len() >= min_started)
         });
-        let leftover = run_folders(folder.path()).remove(0);
+        let run_folder = run_folders(folder.path()).remove(0);
         kill(Pid::from_raw(run_process.id() as i32), signal).unwrap();
         let ended = run_process.wait().unwrap();
-        let started = recorded_pids(&leftover);
+        let pids = recorded_pids(&run_folder);
         wait_until("the processes end with their run", || {
-            !started.iter().any(|pid| is_running(*pid))
+            !pids.iter().any(|pid| is_running(*pid))
         });
         if signal == Signal::SIGKILL {
             assert_eq!(ended.signal(), Some(9));
@@ -126,8 +127,8 @@
 /// its log.
 #[test]
 fn invalid_input_is_rejected_by_name() {
-    let assert_rejected = |more: &str, set: &[&str], expected_text: &str| {
-        let folder = scenario_folder(4, more);
+    let assert_rejected = |additions: &str, set: &[&str], expected_text: &str| {
+        let folder = scenario_folder(4, additions);
         let output = run_command(folder.path(), set).output().unwrap();
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
--- a/crates/cluster-test/tests/verdicts.rs
+++ b/crates/cluster-test/tests/verdicts.rs
@@ -14,7 +14,7 @@
 fn each_violation_is_found_by_its_rule_alone() {
     let _exclusive = run_exclusively();
     let without_delays =
-        |more: &str| format!("{more}\n[network]\nwithin = \"0 s\"\nacross = \"0 s\"\n");
+        |additions: &str| format!("{additions}\n[network]\nwithin = \"0 s\"\nacross = \"0 s\"\n");
     let intact = run_scenario(4, &without_delays(ROLL), &[]);
     assert_passed(&intact);
     assert_eq!(
@@ -122,7 +122,8 @@
 /// Deadline of a call in the test of bounds, in milliseconds. Logs are read at whole seconds, so the deadline is chosen
 /// such that calls time out between two reads rather than at a read.
 const CALL_TIMEOUT_MS: u64 = 1_500;
-/// Maximum number of consecutive failures that trip a circuit breaker (`MAX_FAILURES_TO_TRIP` of the decisions).
+/// Maximum number of consecutive failures that trip a circuit breaker: the value of `MAX_FAILURES_TO_TRIP` in the crate
+/// `woadstall-decisions`.
 const MAX_FAILURES_TO_TRIP: u64 = 6;
 /// Time limit for a balancer to report that it leaves its zone, in milliseconds; also the duration of the run. In the
 /// worst case no two failing calls overlap, so each call fails one deadline after the previous one, and the log is read up
