--- a/crates/coordination/src/machine/calls.rs
+++ b/crates/coordination/src/machine/calls.rs
@@ -177,7 +177,7 @@
             if self.replica.is_leader() {
                 self.enqueue_local(number, &leader);
             } else {
-                forwarded.extend(self.forwarded(number, &leader));
+                forwarded.extend(self.assign_remote(number, &leader));
             }
         }
         if !forwarded.is_empty() {
@@ -224,9 +224,9 @@
         }
     }
 
-    /// Assigns a call to a remote leader and builds the forwarded form. Returns `None` if the
+    /// Assigns a call to a remote leader and returns the call to forward. Returns `None` if the
     /// leader's clock is unknown, because the deadline can't be converted to that clock.
-    fn forwarded(&mut self, number: u64, leader: &LeaderAddress) -> Option<ForwardedCall> {
+    fn assign_remote(&mut self, number: u64, leader: &LeaderAddress) -> Option<ForwardedCall> {
         let id = self.call_id(number);
         let pending = self.calls.by_number.get_mut(&number)?;
         let deadline = self
--- a/crates/coordination/src/machine/freshness.rs
+++ b/crates/coordination/src/machine/freshness.rs
@@ -55,7 +55,7 @@
         {
             return;
         }
-        if self.state_freshness.applied_term == term && self.applied >= commit {
+        if self.state_freshness.applied_term == term && self.applied_index >= commit {
             let sent = self.leader_clock.last_sent(term);
             self.state_freshness.complete_as_of = self.state_freshness.complete_as_of.max(sent);
         }
--- a/crates/coordination/src/machine/lease_clock.rs
+++ b/crates/coordination/src/machine/lease_clock.rs
@@ -25,7 +25,7 @@
     }
 
     /// The state's clock in milliseconds at the time `now` of the leader's monotonic clock.
-    pub fn at(self, now: u64) -> u64 {
+    pub fn clock_ms_at(self, now: u64) -> u64 {
         self.base_ms + now.saturating_sub(self.started_ms)
     }
 }
--- a/crates/coordination/src/machine/mod.rs
+++ b/crates/coordination/src/machine/mod.rs
@@ -59,7 +59,7 @@
     /// The state after the last applied entry.
     state: CoordinationState,
     /// The log index of the last applied entry or restored snapshot.
-    applied: u64,
+    applied_index: u64,
     state_freshness: StateFreshness,
     /// Whether an entry or a snapshot could not be decoded. The local state then no longer matches
     /// the state of the group.
@@ -97,7 +97,7 @@
             timers: PeerTimers::new(now),
             replica: Replica::new(durable, replica_settings, now, seed),
             state: CoordinationState::default(),
-            applied: 0,
+            applied_index: 0,
             state_freshness: StateFreshness::default(),
             is_state_invalid: false,
             log_bytes: 0,
--- a/crates/coordination/src/machine/queue.rs
+++ b/crates/coordination/src/machine/queue.rs
@@ -151,7 +151,7 @@
         self.queue.last_batch_ms = self.now;
         let taken = self.queue.take_batch();
         let batch = Batch {
-            clock_ms: clock.at(self.now),
+            clock_ms: clock.clock_ms_at(self.now),
             history_ms: self.settings.history_ms,
             calls: taken.iter().map(|queued| queued.call.clone()).collect(),
         };
--- a/crates/coordination/src/machine/replication.rs
+++ b/crates/coordination/src/machine/replication.rs
@@ -107,7 +107,7 @@
     fn restore_snapshot(&mut self, snapshot: &Snapshot) {
         match CoordinationState::decode(&snapshot.state) {
             Ok(state) => {
-                self.applied = snapshot.index;
+                self.applied_index = snapshot.index;
                 self.state_freshness.applied_term = snapshot.term;
                 self.log_bytes = 0;
                 self.state = state;
@@ -126,7 +126,7 @@
 
     fn apply_entry(&mut self, entry: Entry) {
         let index = entry.index;
-        self.applied = index;
+        self.applied_index = index;
         self.state_freshness.applied_term = entry.term;
         match entry.payload {
             EntryPayload::Command(bytes) => {
--- a/crates/coordination/src/state/feed.rs
+++ b/crates/coordination/src/state/feed.rs
@@ -163,7 +163,7 @@
                 compacted: group.compacted,
             });
         }
-        let is_delivered = |offset: &u64| self.at(*offset).event.revision <= after;
+        let is_delivered = |offset: &u64| self.event_at(*offset).event.revision <= after;
         let first = group.offsets.partition_point(is_delivered);
         let mut found = GroupEvents {
             events: Vec::new(),
@@ -171,7 +171,7 @@
         };
         let mut bytes = 0;
         for offset in group.offsets.range(first..) {
-            let event = &self.at(*offset).event;
+            let event = &self.event_at(*offset).event;
             if bytes > MAX_LIST_BYTES {
                 found.revision = event.revision - 1;
                 break;
@@ -182,7 +182,7 @@
         Ok(found)
     }
 
-    fn at(&self, offset: u64) -> &FeedEvent {
+    fn event_at(&self, offset: u64) -> &FeedEvent {
         &self.events[(offset - self.first_offset) as usize]
     }
 }
--- a/crates/coordination/src/state/keys.rs
+++ b/crates/coordination/src/state/keys.rs
@@ -51,7 +51,7 @@
     }
 
     /// The number of events in the feed.
-    pub fn events(&self) -> usize {
+    pub fn event_count(&self) -> usize {
         self.feed.len()
     }
 
--- a/crates/coordination/src/state/mod.rs
+++ b/crates/coordination/src/state/mod.rs
@@ -92,7 +92,7 @@
             leases: self.locks.len(),
             sequences: self.sequences.len(),
             keys: self.keys.len(),
-            events: self.keys.events(),
+            events: self.keys.event_count(),
             bytes: self.bytes(),
         }
     }
