--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -32,7 +32,7 @@
     /// A file has the format of another version of the program. The storage does not treat such a
     /// file as empty, because the replica has acknowledged its content.
     #[error(
-        "{path}: format {version} instead of {FORMAT_VERSION}; start the program that wrote it, or give the machine an empty disk"
+        "{path}: unsupported format version {version}, expected {FORMAT_VERSION}; start the version of the program that wrote the file, or start with an empty disk"
     )]
     UnsupportedVersion {
         /// The path of the file.
@@ -49,7 +49,7 @@
     #[error(transparent)]
     Medium(#[from] MediumError),
     /// A checkpoint of the state does not fit in a segment.
-    #[error("the state of {bytes} bytes does not fit a segment of {segment_bytes}")]
+    #[error("the checkpoint of {bytes} bytes does not fit in a segment of {segment_bytes} bytes")]
     TooLarge {
         /// The size of the checkpoint, in bytes.
         bytes: usize,
