--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeVotersError {
     /// The new membership has no voters.
-    #[error("a group needs a voter")]
+    #[error("the new membership has no voters")]
     NoVoters,
     /// This replica is not the leader.
     #[error("not the leader (known leader: {leader:?})")]
--- a/crates/consensus/src/heartbeat_rounds.rs
+++ b/crates/consensus/src/heartbeat_rounds.rs
@@ -17,21 +17,21 @@
 /// The newest heartbeat rounds of a leader, with their start times. The first round has number 1.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeartbeatRounds {
-    latest: u64,
+    latest_number: u64,
     started: VecDeque<StartedRound>,
 }
 
 impl HeartbeatRounds {
     /// Returns the number of the newest round; 0 before the first round.
     pub fn latest_number(&self) -> u64 {
-        self.latest
+        self.latest_number
     }
 
     /// Starts the next round.
     pub fn start(&mut self, now: Milliseconds) {
-        self.latest += 1;
+        self.latest_number += 1;
         self.started.push_back(StartedRound {
-            number: self.latest,
+            number: self.latest_number,
             started_at: now,
         });
         if self.started.len() > MAX_TRACKED_ROUNDS {
--- a/crates/consensus/src/leader_clock.rs
+++ b/crates/consensus/src/leader_clock.rs
@@ -24,7 +24,7 @@
     /// machine's time at the arrival of the message.
     offset_ms: i128,
     /// The latest time that the leader has sent, on the leader's clock.
-    latest: Milliseconds,
+    latest_leader_time: Milliseconds,
 }
 
 impl LeaderClock {
@@ -34,7 +34,9 @@
         let offset_ms = i128::from(leader_time) - i128::from(now);
         let previous = (term == self.term).then_some(*self);
         self.offset_ms = previous.map_or(offset_ms, |previous| previous.offset_ms.max(offset_ms));
-        self.latest = previous.map_or(leader_time, |previous| previous.latest.max(leader_time));
+        self.latest_leader_time = previous.map_or(leader_time, |previous| {
+            previous.latest_leader_time.max(leader_time)
+        });
         self.term = term;
     }
 
@@ -50,8 +52,8 @@
     /// The time of sending is used instead of the time of arrival, because a message that was
     /// delayed by a partition or a pause of the process does not show that the leader is alive now.
     pub fn last_sent(&self, term: Term) -> Option<Milliseconds> {
-        let at = u64::try_from(i128::from(self.latest) - self.offset_ms).ok()?;
-        (term == self.term).then_some(at)
+        let sent_at = u64::try_from(i128::from(self.latest_leader_time) - self.offset_ms).ok()?;
+        (term == self.term).then_some(sent_at)
     }
 }
 
--- a/crates/consensus/src/voter_selection/mod.rs
+++ b/crates/consensus/src/voter_selection/mod.rs
@@ -110,13 +110,13 @@
             .iter()
             .all(|candidate| is_live(candidate) || candidate.liveness == liveness)
     };
-    let has_lost = current
+    let has_lost_voter = current
         .iter()
         .any(|candidate| candidate.liveness == Liveness::Lost);
     let becomes_odd = current.len().is_multiple_of(2) && size + 1 == current.len();
     let improves = becomes_odd || has_majority_domain(current, key);
     size >= current.len()
-        || has_lost && are_live_or(Liveness::Lost)
+        || has_lost_voter && are_live_or(Liveness::Lost)
         || size > 1 && improves && are_live_or(Liveness::Live)
 }
 
