--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -94,7 +94,9 @@
     reports: Vec<(ReplicaId, DurableReport)>,
     /// The number of entries that a follower has committed before its leader.
     pub early_commits: usize,
+    /// The scheduled events with their due times and sequence numbers, the earliest first.
     events: BinaryHeap<std::cmp::Reverse<(u64, u64, Event)>>,
+    /// The number of events scheduled so far.
     sequence: u64,
     /// The pairs of a sending and a receiving machine between which all messages are lost.
     pub partitions: BTreeSet<(usize, usize)>,
@@ -257,12 +259,12 @@
             while self
                 .events
                 .peek()
-                .is_some_and(|std::cmp::Reverse((at, _, _))| *at <= next_tick)
+                .is_some_and(|std::cmp::Reverse((due, _, _))| *due <= next_tick)
             {
-                let Some(std::cmp::Reverse((at, _, event))) = self.events.pop() else {
+                let Some(std::cmp::Reverse((due, _, event))) = self.events.pop() else {
                     break;
                 };
-                self.now = self.now.max(at);
+                self.now = self.now.max(due);
                 self.handle_event(event);
             }
             self.now = next_tick;
--- a/crates/coordination/tests/early_commit.rs
+++ b/crates/coordination/tests/early_commit.rs
@@ -37,8 +37,9 @@
     now: u64,
     machines: Vec<CoordinationMachine>,
     regions: [usize; MACHINES],
-    /// The scheduled events by time and scheduling order, with their machines.
+    /// The scheduled events by due time and scheduling order, with their machines.
     events: BTreeMap<(u64, u64), (usize, Event)>,
+    /// The number of events scheduled so far.
     scheduled: u64,
     /// The arrival time of the response to each token.
     responses: BTreeMap<u64, u64>,
@@ -83,9 +84,9 @@
         }
     }
 
-    fn schedule(&mut self, at: u64, machine: usize, event: Event) {
+    fn schedule(&mut self, due: u64, machine: usize, event: Event) {
         self.scheduled += 1;
-        self.events.insert((at, self.scheduled), (machine, event));
+        self.events.insert((due, self.scheduled), (machine, event));
     }
 
     fn delay(&self, from: usize, to: usize) -> u64 {
@@ -109,9 +110,9 @@
                 } => {
                     let to = (0..MACHINES).find(|other| address(*other) == to);
                     let to = to.expect("a machine of the group");
-                    let at = self.now + self.delay(machine, to);
+                    let arrival = self.now + self.delay(machine, to);
                     let from = machine;
-                    self.schedule(at, to, Event::Packet { from, packet });
+                    self.schedule(arrival, to, Event::Packet { from, packet });
                 }
                 Action::Persist { sequence, .. } => {
                     self.schedule(self.now + SYNC_MS, machine, Event::Persisted(sequence));
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -69,13 +69,20 @@
     at_ms: u64,
 }
 
+/// A lease that has not expired.
+struct ModelLease {
+    owner: String,
+    fencing_token: u64,
+    expires_ms: u64,
+}
+
 /// A simple reference implementation of the state.
 #[derive(Default)]
 struct Model {
     now_ms: u64,
     last_token: u64,
-    /// By lock: the owner, the fencing token and the expiry of the lease.
-    leases: BTreeMap<String, (String, u64, u64)>,
+    /// The leases by lock.
+    leases: BTreeMap<String, ModelLease>,
     numbers: BTreeMap<String, u64>,
     puts: Vec<ModelPut>,
 }
@@ -83,7 +90,7 @@
 impl Model {
     fn is_current_lease(&self, lock: &str, owner: &str, token: u64) -> bool {
         let lease = self.leases.get(lock);
-        lease.is_some_and(|lease| lease.0 == owner && lease.1 == token)
+        lease.is_some_and(|lease| lease.owner == owner && lease.fencing_token == token)
     }
 
     /// Advances the clock, removes the expired leases and returns their locks in order of expiry.
@@ -91,13 +98,14 @@
         self.now_ms = self.now_ms.max(now_ms);
         let mut expired: Vec<(u64, String)> = Vec::new();
         for (lock, lease) in &self.leases {
-            if lease.2 <= self.now_ms {
-                expired.push((lease.2, lock.clone()));
+            if lease.expires_ms <= self.now_ms {
+                expired.push((lease.expires_ms, lock.clone()));
             }
         }
         expired.sort();
         let expired: Vec<String> = expired.into_iter().map(|(_, lock)| lock).collect();
-        self.leases.retain(|_, lease| lease.2 > self.now_ms);
+        self.leases
+            .retain(|_, lease| lease.expires_ms > self.now_ms);
         expired
     }
 
@@ -153,7 +161,7 @@
                 }
                 let end = self.now_ms.saturating_add(*lease_ms);
                 let lease = self.leases.get_mut(lock).unwrap();
-                lease.2 = lease.2.max(end);
+                lease.expires_ms = lease.expires_ms.max(end);
                 Outcome::LockRenewed
             }
             Command::ReleaseLock {
@@ -182,13 +190,17 @@
     fn acquire(&mut self, lock: &str, owner: &str, lease_ms: u64) -> Outcome {
         let mut end = self.now_ms.saturating_add(lease_ms);
         if let Some(lease) = self.leases.get(lock) {
-            if lease.0 != owner {
+            if lease.owner != owner {
                 return Outcome::LockHeld;
             }
-            end = end.max(lease.2);
+            end = end.max(lease.expires_ms);
         }
         self.last_token += 1;
-        let lease = (owner.to_owned(), self.last_token, end);
+        let lease = ModelLease {
+            owner: owner.to_owned(),
+            fencing_token: self.last_token,
+            expires_ms: end,
+        };
         self.leases.insert(lock.to_owned(), lease);
         support::acquired(self.last_token)
     }
@@ -298,11 +310,11 @@
     }
 
     #[test]
-    fn a_restored_replica_stays_identical(batches in batches(), at in 0..MAX_BATCHES) {
+    fn a_restored_replica_stays_identical(batches in batches(), restore_index in 0..MAX_BATCHES) {
         let mut service = Service::new();
         let mut restored: Option<CoordinationState> = None;
         for (number, drawn) in batches.iter().enumerate() {
-            if number == at % batches.len() {
+            if number == restore_index % batches.len() {
                 restored = Some(CoordinationState::decode(&service.state.encode()).unwrap());
             }
             advance(&mut service, drawn);
