--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -74,8 +74,11 @@
     /// The reports that were sent. A delivered report stays in the set, so that it can be delivered
     /// again.
     reports: BTreeSet<SentReport>,
+    /// The number of events of each kind that may still happen.
     remaining: Events,
+    /// The leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
+    /// The committed entry at each index, as the first replica has applied it.
     committed: BTreeMap<u64, Entry>,
     /// The newest committed index at the time of each read request, by the identifier of the read.
     read_floors: BTreeMap<u64, u64>,
@@ -115,7 +118,7 @@
     }
 }
 
-fn membership(ids: &[ReplicaId]) -> Vec<Member> {
+fn members(ids: &[ReplicaId]) -> Vec<Member> {
     ids.iter().copied().map(member).collect()
 }
 
@@ -271,11 +274,11 @@
     /// Creates a state in which replica 1 is the leader and its first entry is replicated to all
     /// voters.
     fn initial_state(&self) -> State {
-        let members = Membership::new(membership(&self.voters));
+        let membership = Membership::new(members(&self.voters));
         let founding = Snapshot {
             index: 1,
             term: 1,
-            membership: members,
+            membership,
             state: Vec::new(),
         };
         let node = |id: ReplicaId| {
@@ -422,7 +425,7 @@
                 state.remaining.changes -= 1;
                 state.nodes[index]
                     .replica
-                    .change_voters(membership(&self.next_voters))
+                    .change_voters(members(&self.next_voters))
                     .ok()?;
                 state.process_outputs(index);
             }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -33,11 +33,11 @@
 
 impl AcceptedCommands {
     fn propose(&mut self, group: &mut Group) {
-        let host = group.random.usize(..group.len());
-        let at = group.leader().unwrap_or(host);
+        let random_host = group.random.usize(..group.len());
+        let host = group.leader().unwrap_or(random_host);
         self.last_command = self.last_command.wrapping_add(1);
         let command = self.last_command;
-        if let Some(position) = group.propose(at, &[command]) {
+        if let Some(position) = group.propose(host, &[command]) {
             self.commands.push(AcceptedCommand { position, command });
         }
     }
--- a/crates/coordination/tests/machine/cluster.rs
+++ b/crates/coordination/tests/machine/cluster.rs
@@ -284,10 +284,11 @@
     }
 
     /// Resets the connection between two machines. Packets in transit between them are lost.
-    pub fn reset_connection(&mut self, one: u64, other: u64) {
-        self.in_flight
-            .retain(|packet| ![(one, other), (other, one)].contains(&(packet.from, packet.to)));
-        for (id, peer) in [(one, other), (other, one)] {
+    pub fn reset_connection(&mut self, first: u64, second: u64) {
+        self.in_flight.retain(|packet| {
+            ![(first, second), (second, first)].contains(&(packet.from, packet.to))
+        });
+        for (id, peer) in [(first, second), (second, first)] {
             let now = self.clock(id);
             self.host(id)
                 .machine
--- a/crates/coordination/tests/properties.rs
+++ b/crates/coordination/tests/properties.rs
@@ -346,23 +346,23 @@
     #[test]
     fn tokens_numbers_revisions_and_the_clock_increase(batches in batches()) {
         let mut service = Service::new();
-        let mut last: BTreeMap<String, u64> = BTreeMap::new();
+        let mut last_values: BTreeMap<String, u64> = BTreeMap::new();
         let mut clock_ms = 0;
         for batch in batches {
             advance(&mut service, &batch);
             let revisions = GROUPS.map(|group| service.state.group_revision(group));
             let applied = service.apply(batch.calls.clone());
-            for (call, found) in batch.calls.iter().zip(&applied.outcomes) {
-                if let Some((name, value)) = incremented_counter(call, &found.outcome) {
-                    let former = last.insert(name, value);
+            for (call, executed) in batch.calls.iter().zip(&applied.outcomes) {
+                if let Some((name, value)) = incremented_counter(call, &executed.outcome) {
+                    let former = last_values.insert(name, value);
                     prop_assert!(former.is_none_or(|former| former < value));
                 }
             }
-            for (group, before) in GROUPS.iter().zip(revisions) {
+            for (group, former_revision) in GROUPS.iter().zip(revisions) {
                 let is_changed = applied.changed_groups.iter().any(|changed| changed == group);
-                let now = service.state.group_revision(group);
-                prop_assert_eq!(now > before, is_changed);
-                prop_assert!(now >= before);
+                let revision = service.state.group_revision(group);
+                prop_assert_eq!(revision > former_revision, is_changed);
+                prop_assert!(revision >= former_revision);
             }
             prop_assert!(service.state.clock_ms() >= clock_ms);
             clock_ms = service.state.clock_ms();
