--- a/crates/coordination/src/machine/calls.rs
+++ b/crates/coordination/src/machine/calls.rs
@@ -319,7 +319,7 @@
     fn answer(&mut self, caller: Caller, result: CallResult) {
         match caller {
             Caller::Application(token) => self.respond(token, response_to(result)),
-            Caller::Watch(number) => self.on_revision_confirmed(number, &result),
+            Caller::Watch(number) => self.on_confirmation_result(number, &result),
         }
     }
 
--- a/crates/coordination/src/machine/queue.rs
+++ b/crates/coordination/src/machine/queue.rs
@@ -48,9 +48,9 @@
         self.waiting.len()
     }
 
-    fn push(&mut self, call: QueuedCall) {
-        if self.ids.insert(call.call.id) {
-            self.waiting.push_back(call);
+    fn push(&mut self, queued: QueuedCall) {
+        if self.ids.insert(queued.call.id) {
+            self.waiting.push_back(queued);
         }
     }
 
@@ -58,10 +58,10 @@
     fn take_expired(&mut self, now: u64) -> Vec<QueuedCall> {
         let (expired, waiting): (VecDeque<_>, _) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|call| now > call.deadline);
+            .partition(|queued| now > queued.deadline);
         self.waiting = waiting;
-        for call in &expired {
-            self.ids.remove(&call.call.id);
+        for queued in &expired {
+            self.ids.remove(&queued.call.id);
         }
         expired.into()
     }
@@ -71,11 +71,11 @@
         let mut batch = Vec::new();
         let mut bytes = 0;
         while bytes < MAX_BATCH_BYTES
-            && let Some(call) = self.waiting.pop_front()
+            && let Some(queued) = self.waiting.pop_front()
         {
-            bytes += call.call.call.size();
-            self.ids.remove(&call.call.id);
-            batch.push(call);
+            bytes += queued.call.call.size();
+            self.ids.remove(&queued.call.id);
+            batch.push(queued);
         }
         batch
     }
--- a/crates/coordination/src/machine/watches.rs
+++ b/crates/coordination/src/machine/watches.rs
@@ -164,14 +164,14 @@
     fn response_to_watch(&self, number: u64) -> Option<Response> {
         let watch = self.watches.by_number.get(&number)?;
         let is_confirmed = self.is_revision_confirmed(watch);
-        let events = match self.events_of(watch) {
-            Ok(events) => events,
+        let group_events = match self.events_of(watch) {
+            Ok(group_events) => group_events,
             Err(_) => return Some(Response::HistoryCompacted),
         };
-        if !events.events.is_empty() {
+        if !group_events.events.is_empty() {
             let is_complete = is_confirmed || self.is_state_complete_as_of(watch.arrived_at);
             return is_complete
-                .then_some(Response::Events(events))
+                .then_some(Response::Events(group_events))
                 .or_else(|| self.response_after_timeout(watch));
         }
         if !is_confirmed || self.now < watch.deadline {
@@ -219,7 +219,7 @@
 
     /// Handles the result of the query that confirms the revision of a watch's group. The watch
     /// fails if the query was not executed.
-    pub(super) fn on_revision_confirmed(&mut self, number: u64, result: &CallResult) {
+    pub(super) fn on_confirmation_result(&mut self, number: u64, result: &CallResult) {
         let Some(watch) = self.watches.by_number.get_mut(&number) else {
             return;
         };
--- a/crates/coordination/src/state/feed.rs
+++ b/crates/coordination/src/state/feed.rs
@@ -57,7 +57,7 @@
     /// The revision of the newest put.
     pub revision: u64,
     /// The newest revision whose event is no longer in the feed.
-    pub compacted: u64,
+    pub compacted_revision: u64,
     /// The feed offsets of the group's events, in increasing order.
     offsets: VecDeque<u64>,
 }
@@ -113,10 +113,10 @@
     }
 
     /// Adds a group without events.
-    pub fn add_group(&mut self, name: Arc<str>, revision: u64, compacted: u64) {
+    pub fn add_group(&mut self, name: Arc<str>, revision: u64, compacted_revision: u64) {
         let group = Group {
             revision,
-            compacted,
+            compacted_revision,
             offsets: VecDeque::new(),
         };
         self.bytes += EVENT_BYTES + name.len();
@@ -124,17 +124,17 @@
     }
 
     /// Appends an event.
-    pub fn push(&mut self, event: FeedEvent) {
+    pub fn push(&mut self, feed_event: FeedEvent) {
         let offset = self.first_offset + self.events.len() as u64;
-        if !self.groups.contains_key(&event.group) {
-            self.add_group(event.group.clone(), 0, 0);
+        if !self.groups.contains_key(&feed_event.group) {
+            self.add_group(feed_event.group.clone(), 0, 0);
         }
-        if let Some(group) = self.groups.get_mut(&event.group) {
-            group.revision = group.revision.max(event.event.revision);
+        if let Some(group) = self.groups.get_mut(&feed_event.group) {
+            group.revision = group.revision.max(feed_event.event.revision);
             group.offsets.push_back(offset);
         }
-        self.bytes += size(&event);
-        self.events.push_back(event);
+        self.bytes += size(&feed_event);
+        self.events.push_back(feed_event);
     }
 
     /// Removes and returns the oldest event if it was put before `cutoff_ms` of the state's clock.
@@ -142,14 +142,14 @@
         if self.events.front()?.at_ms >= cutoff_ms {
             return None;
         }
-        let event = self.events.pop_front()?;
+        let feed_event = self.events.pop_front()?;
         self.first_offset += 1;
-        self.bytes -= size(&event);
-        if let Some(group) = self.groups.get_mut(&event.group) {
+        self.bytes -= size(&feed_event);
+        if let Some(group) = self.groups.get_mut(&feed_event.group) {
             group.offsets.pop_front();
-            group.compacted = event.event.revision;
+            group.compacted_revision = feed_event.event.revision;
         }
-        Some(event)
+        Some(feed_event)
     }
 
     /// The events of a group after the revision `after`. A list that exceeds [`MAX_LIST_BYTES`] is
@@ -158,9 +158,9 @@
         let Some(group) = self.groups.get(group) else {
             return Ok(GroupEvents::default());
         };
-        if after < group.compacted {
+        if after < group.compacted_revision {
             return Err(WatchError::Compacted {
-                compacted: group.compacted,
+                compacted: group.compacted_revision,
             });
         }
         let is_delivered = |offset: &u64| self.event_at(*offset).event.revision <= after;
@@ -187,6 +187,6 @@
     }
 }
 
-fn size(event: &FeedEvent) -> usize {
-    EVENT_BYTES + event.event.key.len() + event.event.value.len()
+fn size(feed_event: &FeedEvent) -> usize {
+    EVENT_BYTES + feed_event.event.key.len() + feed_event.event.value.len()
 }
--- a/crates/coordination/src/state/keys.rs
+++ b/crates/coordination/src/state/keys.rs
@@ -11,7 +11,7 @@
 
 /// The current value and revision of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Entry {
+pub(super) struct KeyEntry {
     pub value: Arc<str>,
     pub revision: u64,
 }
@@ -38,7 +38,7 @@
 /// All keys and the feed of recent puts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeyTable {
-    entries: BTreeMap<Arc<str>, Entry>,
+    entries: BTreeMap<Arc<str>, KeyEntry>,
     /// The revisions of the puts in the feed, for deduplication.
     recent_puts: HashMap<PutId, u64>,
     feed: Feed,
@@ -63,7 +63,7 @@
         &self.feed
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
+    pub fn entries(&self) -> impl Iterator<Item = (&Arc<str>, &KeyEntry)> {
         self.entries.iter()
     }
 
@@ -116,7 +116,7 @@
         let group = self.feed.group_name(group).unwrap_or_else(|| group.into());
         self.set(
             key.clone(),
-            Entry {
+            KeyEntry {
                 value: value.clone(),
                 revision,
             },
@@ -148,8 +148,8 @@
     }
 
     /// Sets the value of a key without recording an event.
-    pub fn set(&mut self, key: Arc<str>, entry: Entry) {
-        let size = |entry: &Entry| KEY_BYTES + key.len() + entry.value.len();
+    pub fn set(&mut self, key: Arc<str>, entry: KeyEntry) {
+        let size = |entry: &KeyEntry| KEY_BYTES + key.len() + entry.value.len();
         let added = size(&entry);
         let removed = self.entries.get(&key).map_or(0, size);
         self.entry_bytes = self.entry_bytes + added - removed;
@@ -157,13 +157,13 @@
     }
 
     /// Appends an event to the feed and indexes it for deduplication.
-    pub fn record(&mut self, event: FeedEvent) {
+    pub fn record(&mut self, feed_event: FeedEvent) {
         let id = PutId {
-            key: event.event.key.clone(),
-            value: event.event.value.clone(),
+            key: feed_event.event.key.clone(),
+            value: feed_event.event.value.clone(),
         };
-        self.recent_puts.insert(id, event.event.revision);
-        self.feed.push(event);
+        self.recent_puts.insert(id, feed_event.event.revision);
+        self.feed.push(feed_event);
     }
 
     /// Removes the events older than `history_ms` before `now_ms` of the state's clock.
--- a/crates/coordination/src/state/snapshot.rs
+++ b/crates/coordination/src/state/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::CoordinationState;
 use super::feed::{Event, Feed, FeedEvent};
-use super::keys::{Entry, KeyTable};
+use super::keys::{KeyEntry, KeyTable};
 use super::locks::{Lease, LockTable};
 use super::sequences::SequenceTable;
 use crate::command::group_of;
@@ -101,7 +101,7 @@
         } in stored.entries
         {
             let value = value.into();
-            state.keys.set(key.into(), Entry { value, revision });
+            state.keys.set(key.into(), KeyEntry { value, revision });
         }
         for event in stored.events {
             state.keys.record(event.into());
@@ -155,7 +155,7 @@
         .map(|(name, group)| StoredGroup {
             name: name.to_string(),
             revision: group.revision,
-            compacted: group.compacted,
+            compacted: group.compacted_revision,
         })
         .collect()
 }
