--- a/crates/cluster-test/tests/common/mod.rs
+++ b/crates/cluster-test/tests/common/mod.rs
@@ -197,8 +197,13 @@
 /// Asserts that no rule and no bound was violated, and that no process crashed.
 pub fn assert_passed(result: &Value) {
     assert_eq!(
-        result["kept"], true,
-        "{} {} {}",
-        result["first-breaches"], result["bounds"], result["processes"]
+        result["kept"],
+        true,
+        "{} {} {}; too slow: {} {}",
+        result["first-breaches"],
+        result["bounds"],
+        result["processes"],
+        result["too-slow"],
+        result["lag"]
     );
 }
